--- a/src/linnetwood/calls/candidates.py
+++ b/src/linnetwood/calls/candidates.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 
 from linnetwood.calls.directory import Directory, Listed
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 
 # Engines heard in the own zone: with fewer, reports come more often within the
 # same bytes, and a call looks at two of them.
@@ -101,7 +101,7 @@
 
 
 def _ranked(key: str, names: Iterable[str]) -> list[str]:
-    return sorted(names, key=lambda name: place_hash(f'{key}|{name}'))
+    return sorted(names, key=lambda name: hash64(f'{key}|{name}'))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -29,8 +29,8 @@
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.patience import Silence
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
-from linnetwood.calls.retries import SHARE, RetryBudget
 from linnetwood.calls.reach import ANYWHERE, Reach
+from linnetwood.calls.retries import SHARE, RetryBudget
 from linnetwood.calls.routebook import Organisation, Repeat, Route, Service
 from linnetwood.calls.standing import Standing
 from linnetwood.core.metrics import Metrics
@@ -42,9 +42,9 @@
     not_run,
     unknown,
 )
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from linnetwood.fleet.wanted import (
-    MARGIN_S,
+    SEND_MARGIN_S,
     START_MARGIN_S,
     WantedVersions,
 )
@@ -58,7 +58,7 @@
 _RETRY_AFTER_MS = 200
 _MILLISECONDS = 1000
 # So long a call has there, on any way, before it is taken back.
-_BEGIN_S = MARGIN_S - START_MARGIN_S
+_BEGIN_S = SEND_MARGIN_S - START_MARGIN_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -135,11 +135,13 @@
             self._zone,
             call.head.prompt,
             model,
-            self._wanted.least(model, self._loop.time()) if model else 0,
-            closing=self._wanted.closing(model),
+            self._wanted.oldest_allowed(model, self._loop.time())
+            if model
+            else 0,
+            closing=self._wanted.cutoffs(model),
             enough_s=self._enough_s(call),
             reach=call.reach,
-            lot=place_hash(call.head.call_id),
+            lot=hash64(call.head.call_id),
         )
 
     async def run(
@@ -300,7 +302,9 @@
     ) -> Bounds:
         start_by = math.inf
         if choice.version and call.repeatable:
-            start_by = self._wanted.start_by(call.head.model, choice.version)
+            start_by = self._wanted.start_deadline(
+                call.head.model, choice.version
+            )
             # What takes it back must arrive before the bound as well.
             standing = self._chooser.standing(choice.endpoint.life)
             start_by -= standing.slow_s(self._loop.time())
--- a/src/linnetwood/calls/greetings.py
+++ b/src/linnetwood/calls/greetings.py
@@ -9,9 +9,9 @@
 from linnetwood.calls.directory import Directory
 from linnetwood.calls.engine import EngineFigures
 from linnetwood.calls.routebook import Origin, RouteBook
-from linnetwood.fleet.listeners import report_every_s
-from linnetwood.fleet.news import Address, NewsPort
-from linnetwood.fleet.peerlist import PeerTeller, Places
+from linnetwood.fleet.news import Address, NewsSocket
+from linnetwood.fleet.peerlist import PeerListServer, ZonesByHost
+from linnetwood.fleet.reportsubscribers import report_every_s
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import EntryNews, News
 
@@ -23,7 +23,7 @@
 class _Around:
     """The engines of a service, and what was worked out of their places."""
 
-    places: Places
+    places: ZonesByHost
     digest: int
     revision: int
     heard: Mapping[str, float]
@@ -56,7 +56,7 @@
         wanted: WantedVersions,
     ) -> None:
         """Greet as the entry of a host in an availability zone."""
-        self.peers = PeerTeller()
+        self.peers = PeerListServer()
         # The revision of the platform's store that the directory is of.
         self.revision: Callable[[], int] = _unknown
         self._me = me
@@ -82,7 +82,7 @@
         """
         self._look_around(book)
         digests = {name: one.digest for name, one in self._around.items()}
-        told = _Told(digests, self._wanted.known(), book.origin)
+        told = _Told(digests, self._wanted.versions_by_model(), book.origin)
         before = self._told
         self._told = told
         return told != before
@@ -91,7 +91,7 @@
         self,
         book: RouteBook,
         now: float,
-        news: NewsPort,
+        news: NewsSocket,
         port: int,
     ) -> None:
         """Greet those heard of each service that has engines."""
@@ -123,14 +123,14 @@
     ) -> _Around | None:
         listed = list(self._directory.of_service(service))
         for endpoint in listed:
-            self._wanted.serving(endpoint.versions.items())
+            self._wanted.add_serving(endpoint.versions.items())
         places = {one.host: one.zone for one in listed}
         around = known.get(service)
         if around is not None and around.places == places:
             return around
         return self._drawn(places) if places else None
 
-    def _drawn(self, places: Places) -> _Around:
+    def _drawn(self, places: ZonesByHost) -> _Around:
         revision = self.revision()
         heard = draw(self._me, self._zone, places)
         return _Around(
@@ -150,7 +150,7 @@
     ) -> EntryNews:
         return EntryNews(
             number=self._number,
-            wanted=self._wanted.told(service, engine.models, now),
+            wanted=self._wanted.to_messages(service, engine.models, now),
             origin=f'{origin.host}:{origin.port}' if origin.host else '',
             chunk_bytes=engine.chunk_bytes,
             chunks=engine.chunks,
@@ -162,7 +162,7 @@
         self,
         greeting: EntryNews,
         around: _Around,
-        news: NewsPort,
+        news: NewsSocket,
         port: int,
     ) -> None:
         greeting.peers_digest = around.digest
--- a/src/linnetwood/calls/limits.py
+++ b/src/linnetwood/calls/limits.py
@@ -24,7 +24,7 @@
 from linnetwood.calls.routebook import Service
 from linnetwood.calls.standing import Standing
 from linnetwood.calls.turns import Turns
-from linnetwood.fleet.listeners import UNHEARD_SHARE
+from linnetwood.fleet.reportsubscribers import UNSUBSCRIBED_SHARE
 
 # Of the limit: half as much again is allowed, and five calls. Few entries come
 # in even turns; where many have small parts, chance needs more of what is left.
@@ -100,4 +100,4 @@
         equal = 1 / max(1, self._entries())
         if place.service.engine is None:
             return equal
-        return place.standing.part(now) or equal * UNHEARD_SHARE
+        return place.standing.part(now) or equal * UNSUBSCRIBED_SHARE
--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -10,14 +10,14 @@
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.entrycount import EntryCount
 from linnetwood.calls.greetings import Greetings
-from linnetwood.calls.routebook import RouteBook
 from linnetwood.calls.lives import take_report
 from linnetwood.calls.notices import Notice
+from linnetwood.calls.routebook import RouteBook
 from linnetwood.calls.standing import Report
 from linnetwood.core.clock import Clock
 from linnetwood.core.waits import happened
 from linnetwood.fleet.hosts import unpack
-from linnetwood.fleet.news import Address, NewsPort
+from linnetwood.fleet.news import Address, NewsSocket
 from linnetwood.fleet.tellers import Tellers
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import (
@@ -73,7 +73,7 @@
         self._wanted = wanted
         self._clock = clock
         self._port = port
-        self._news = NewsPort(self)
+        self._news = NewsSocket(self)
         self._wake = asyncio.Event()
         self._hello_at = -math.inf
         self._task: asyncio.Task[None] | None = None
@@ -124,7 +124,7 @@
         """Look at once whether something changed that others should know."""
         self._wake.set()
 
-    def heard(self, news: News, source: Address) -> None:
+    def handle_news(self, news: News, source: Address) -> None:
         """Take in an engine's report, or which other entries there are."""
         now = self._clock.now()
         if news.neighbours is not None:
@@ -138,7 +138,7 @@
             self._tellers.elsewhere.heard(one.zone, unpack(one.hosts), now)
 
     def _heard_engine(self, engine: EngineNews, host: str, now: float) -> None:
-        self._wanted.heard(engine.wanted, now)
+        self._wanted.apply_messages(engine.wanted, now)
         near = self.greetings.near(host)
         self._count.told(host, engine.entries, now, near=near)
         report = _report(engine, now)
--- a/src/linnetwood/calls/routing.py
+++ b/src/linnetwood/calls/routing.py
@@ -8,7 +8,7 @@
 from typing import Final, Protocol
 
 from linnetwood.fleet.members import ENDPOINT, Health
-from linnetwood.fleet.placement import SEPARATOR, label
+from linnetwood.fleet.placement import LABEL_SEPARATOR, version_label
 from linnetwood.gen.schema.ttypes import Deployment
 from linnetwood.gen.wire.ttypes import Member
 
@@ -186,14 +186,15 @@
         """Take in which versions may answer for a model, best first."""
         self._wanted = {
             intent.model: {
-                label(intent.model, intent.version),
-                label(intent.model, intent.previous_version),
+                version_label(intent.model, intent.version),
+                version_label(intent.model, intent.previous_version),
             }
             for intent in deployment.intents
         }
         self._declared = {
             model.name: {
-                label(model.name, version.name) for version in model.versions
+                version_label(model.name, version.name)
+                for version in model.versions
             }
             for model in deployment.models
         }
@@ -213,7 +214,8 @@
         return sum(
             member.slots
             for member in self._members.values()
-            if target in {member.kind, member.serving.partition(SEPARATOR)[0]}
+            if target
+            in {member.kind, member.serving.partition(LABEL_SEPARATOR)[0]}
             and _able(member, Want(member.kind))
         )
 
--- a/src/linnetwood/fleet/changes.py
+++ b/src/linnetwood/fleet/changes.py
@@ -7,7 +7,7 @@
 from linnetwood.core.errors import ConfigError, StoreAnswerLostError, StoreError
 from linnetwood.core.events import Event, log
 from linnetwood.fleet import configuration
-from linnetwood.fleet.store import KeyValue, Stored
+from linnetwood.fleet.store import KeyValue, StoredValue
 from linnetwood.gen.schema.ttypes import (
     Answer,
     Configuration,
@@ -20,7 +20,7 @@
 Adopt = Callable[[bytes], None]
 
 
-class Changes:
+class ConfigChanges:
     """Accept changes by compare-and-swap and settle lost answers."""
 
     def __init__(self, store: KeyValue, clock: Clock, adopt: Adopt) -> None:
@@ -55,17 +55,19 @@
         change = configuration.find_change(standing, operation_id)
         if change is not None:
             return _accepted(probe, change.revision)
-        if configuration.forgotten(standing, 0):
+        if configuration.history_starts_after(standing, 0):
             return _unknown(probe, 'older than the history that is kept')
         return _refused(probe, standing.revision, 'not-accepted', '')
 
     async def _swap(
         self,
         proposal: configuration.Proposal,
-        stored: Stored,
+        stored: StoredValue,
         standing: Configuration,
     ) -> Answer:
-        wanted = configuration.after(standing, proposal, self._clock.wall())
+        wanted = configuration.apply_proposal(
+            standing, proposal, self._clock.wall()
+        )
         try:
             encoded = configuration.pack(wanted)
         except ConfigError as exc:
@@ -107,7 +109,7 @@
                 return _overtaken(proposal, standing)
         return _unknown(proposal, 'the answer of the service was lost')
 
-    def _read(self, stored: Stored) -> Configuration:
+    def _read(self, stored: StoredValue) -> Configuration:
         standing = configuration.unpack(stored.payload)
         if stored.version:
             self._adopt(stored.payload)
--- a/src/linnetwood/fleet/configuration.py
+++ b/src/linnetwood/fleet/configuration.py
@@ -54,7 +54,7 @@
     return encoded
 
 
-def after(
+def apply_proposal(
     standing: Configuration,
     proposal: Proposal,
     wall: float,
@@ -96,7 +96,9 @@
     ]
 
 
-def forgotten(configuration: Configuration, base_revision: int) -> bool:
+def history_starts_after(
+    configuration: Configuration, base_revision: int
+) -> bool:
     """Tell whether the history no longer reaches back to a revision."""
     if not configuration.history:
         return False
@@ -108,13 +110,13 @@
     others = []
     for standing in deployment.intents:
         if standing.model == intent.model:
-            _remember(intent, standing)
+            _set_previous(intent, standing)
         else:
             others.append(standing)
     return _with_intents(deployment, [*others, intent])
 
 
-def _remember(intent: Intent, standing: Intent) -> None:
+def _set_previous(intent: Intent, standing: Intent) -> None:
     if standing.version == intent.version:
         intent.previous_version = standing.previous_version
         intent.previous_replicas = standing.previous_replicas
@@ -167,19 +169,23 @@
     return ''
 
 
-def faults(deployment: Deployment) -> Iterator[str]:
+def validation_errors(deployment: Deployment) -> Iterator[str]:
     """Yield what is wrong with a deployment, in plain words."""
-    yield from _doubled('model', [model.name for model in deployment.models])
-    yield from _doubled('service', [one.name for one in deployment.services])
-    yield from _doubled(
+    yield from _duplicate_errors(
+        'model', [model.name for model in deployment.models]
+    )
+    yield from _duplicate_errors(
+        'service', [one.name for one in deployment.services]
+    )
+    yield from _duplicate_errors(
         'organisation', [one.name for one in deployment.organisations]
     )
-    yield from _doubled(
+    yield from _duplicate_errors(
         'intent for model', [one.model for one in deployment.intents]
     )
     for model in deployment.models:
         names = {version.name for version in model.versions}
-        yield from _doubled(
+        yield from _duplicate_errors(
             f'version of {model.name}', [one.name for one in model.versions]
         )
         for adapter in model.adapters:
@@ -196,10 +202,10 @@
                 f'{organisation.share}, allowed is at least 1'
             )
     for intent in deployment.intents:
-        yield from _intent_faults(deployment, intent)
+        yield from _intent_errors(deployment, intent)
 
 
-def _intent_faults(deployment: Deployment, intent: Intent) -> Iterator[str]:
+def _intent_errors(deployment: Deployment, intent: Intent) -> Iterator[str]:
     if not manifest_of(deployment, intent.model, intent.version):
         yield (
             f'intent {intent.model}: version: found {intent.version!r}, '
@@ -213,7 +219,7 @@
         )
 
 
-def _doubled(kind: str, names: list[str]) -> Iterator[str]:
+def _duplicate_errors(kind: str, names: list[str]) -> Iterator[str]:
     for name in sorted({one for one in names if names.count(one) > 1}):
         yield f'{kind} {name}: found twice, allowed is once'
     if '' in names:
--- a/src/linnetwood/fleet/elsewhere.py
+++ b/src/linnetwood/fleet/elsewhere.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from linnetwood.fleet.resting import Resting
 
 # An entry that a zone hears has a connection to one entry of each of so many
@@ -39,7 +39,7 @@
         self._expire(now)
         drawn = sorted(
             self._heard_at,
-            key=lambda zone: place_hash(f'{self._me}|{zone}'),
+            key=lambda zone: hash64(f'{self._me}|{zone}'),
         )
         return drawn[:ZONES_HEARD]
 
@@ -88,4 +88,4 @@
 @functools.lru_cache(maxsize=_PLACES_KEPT)
 def teller_place(host: str) -> tuple[int, str]:
     """Give an entry's place among those of its zone, agreed by all."""
-    return place_hash(f'tell|{host}'), host
+    return hash64(f'tell|{host}'), host
--- a/src/linnetwood/fleet/gossip.py
+++ b/src/linnetwood/fleet/gossip.py
@@ -13,15 +13,15 @@
 from linnetwood.core.options import Gossiping
 from linnetwood.core.trust import NoSeal, Seal
 from linnetwood.fleet.members import Health
-from linnetwood.fleet.membership import BUCKETS, Membership, pick
+from linnetwood.fleet.membership import BUCKETS, Membership, sample_members
 from linnetwood.gen.wire.ttypes import Gossip, HeldNotice, Member
 from linnetwood.wire.codec import decode, encode
 
-_DATAGRAM = 1200
-_BATCH_S = 0.03
-_TICK_S = 0.2
-_JOIN_S = 0.3
-_SEEDERS = 4
+_BATCH_BYTES = 1200
+_BATCH_DELAY_S = 0.03
+_TICK_EVERY_S = 0.2
+_JOIN_EVERY_S = 0.3
+_PEER_SYNCS_PER_ROUND = 4
 _NO_LOAD = -1
 _PENDING_LIMIT = 4096
 _JITTER_LOW = 0.9
@@ -34,17 +34,17 @@
 class GossipKind(enum.IntEnum):
     """Say what a datagram is for."""
 
-    BEAT = 1
+    HEARTBEAT = 1
     PING = 2
     ACK = 3
-    NEWS = 4
+    UPDATE = 4
     SYNC = 5
     SYNC_REPLY = 6
-    HELD = 7
+    HELD_CHUNKS = 7
 
 
 # Answers that show how new the sender's configuration is.
-_TEACHING = frozenset((GossipKind.ACK, GossipKind.SYNC_REPLY))
+_REVISION_ANSWERS = frozenset((GossipKind.ACK, GossipKind.SYNC_REPLY))
 
 
 class Listener:
@@ -56,10 +56,10 @@
     def revision_seen(self, revision: int, source: Address) -> None:
         """Learn that a process holds a revision."""
 
-    def chunks_noticed(self, notice: HeldNotice) -> None:
+    def chunks_reported(self, notice: HeldNotice) -> None:
         """Learn which chunks a peer holds."""
 
-    def load_heard(self, vm: str, load: int) -> None:
+    def load_reported(self, vm: str, load: int) -> None:
         """Learn how many calls an endpoint has under way now."""
 
 
@@ -80,7 +80,7 @@
         self.revision = 0
         self.sent_bytes = 0
         self.received_bytes = 0
-        self.zone_heard: dict[str, float] = {}
+        self.zone_heard_at: dict[str, float] = {}
         self.load: Callable[[], int] = _no_load
         self._listeners: list[Listener] = []
         self._peers: tuple[str, ...] = ()
@@ -88,21 +88,21 @@
         self._clock = clock
         self._rng = rng
         self._pending: dict[str, Member] = {}
-        self._flush: asyncio.TimerHandle | None = None
+        self._flush_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
-    def me(self) -> Member:
+    def own_record(self) -> Member:
         """Give the statement this process makes of itself."""
-        return self.membership.me
+        return self.membership.own_record
 
     @property
     def members(self) -> dict[str, Member]:
         """Give the newest statement about each process."""
         return self.membership.view.members
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Add somebody who wants to hear."""
         self._listeners.append(listener)
 
@@ -115,20 +115,26 @@
         )
         self._transport = opened[0]
         self._peers = tuple(peers)
-        self.seed(self._peers)
+        self.sync_with(self._peers)
         self._tasks = [
-            asyncio.create_task(self._every(_TICK_S, self._tick)),
-            asyncio.create_task(self._every(_JOIN_S, self._join)),
-            asyncio.create_task(self._every(self._cfg.heartbeat_s, self._beat)),
+            asyncio.create_task(self._run_every(_TICK_EVERY_S, self._tick)),
             asyncio.create_task(
-                self._every(self._cfg.sync_every_s, self._sync)
+                self._run_every(_JOIN_EVERY_S, self._retry_join)
             ),
             asyncio.create_task(
-                self._every(self._cfg.far_sync_every_s, self._far_sync),
+                self._run_every(self._cfg.heartbeat_s, self._send_heartbeats)
+            ),
+            asyncio.create_task(
+                self._run_every(self._cfg.sync_every_s, self._sync_own_zone)
+            ),
+            asyncio.create_task(
+                self._run_every(
+                    self._cfg.far_sync_every_s, self._sync_other_zones
+                ),
             ),
         ]
 
-    def seed(self, peers: Iterable[str]) -> None:
+    def sync_with(self, peers: Iterable[str]) -> None:
         """Ask processes known by address only for their views."""
         for peer in peers:
             host, _, port = peer.rpartition(':')
@@ -136,58 +142,62 @@
 
     async def close(self) -> None:
         """Stop ticking and release the socket."""
-        self._send_news()
+        self._send_pending()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         if self._transport is not None:
             self._transport.close()
 
-    def restate(self, **changes: object) -> None:
+    def update_self(self, **changes: object) -> None:
         """Change what this process says of itself and spread it."""
-        self.spread(self.membership.restate(**changes))
+        self.disseminate(self.membership.update_self(**changes))
 
-    def learn(self, member: Member) -> None:
+    def receive_record(self, member: Member) -> None:
         """Take in a statement and pass it on if it is new."""
-        news = self.membership.hear(member, self._clock.now())
+        news = self.membership.receive(member, self._clock.now())
         if news is None:
             return
-        self.spread(news)
+        self.disseminate(news)
         if news.status >= Health.SUSPECT:
             log(Event.MEMBER_DOUBTED, vm=news.vm, status=news.status)
         for listener in self._listeners:
             listener.member_changed(news)
 
-    def spread(self, member: Member) -> None:
+    def disseminate(self, member: Member) -> None:
         """Pass a statement on with the next batch."""
         if len(self._pending) >= _PENDING_LIMIT:
             log(Event.GOSSIP_BACKLOG, limit=_PENDING_LIMIT)
             return
         self._pending[member.vm] = member
-        if self._flush is None:
+        if self._flush_timer is None:
             loop = asyncio.get_running_loop()
-            self._flush = loop.call_later(_BATCH_S, self._send_news)
+            self._flush_timer = loop.call_later(
+                _BATCH_DELAY_S, self._send_pending
+            )
 
     def probe(self, member: Member) -> None:
         """Ask a process how many calls it has under way."""
-        self._send(member, self._gossip(GossipKind.PING))
+        self._send(member, self._new_gossip(GossipKind.PING))
 
     def announce_revision(self, revision: int) -> None:
         """Tell some processes at once that a revision is held here."""
         self.revision = revision
-        for member in self._audience():
-            self._send(member, self._gossip(GossipKind.NEWS))
+        for member in self._pick_recipients():
+            self._send(member, self._new_gossip(GossipKind.UPDATE))
 
-    def tell_held(self, members: list[Member], notice: HeldNotice) -> None:
+    def send_held_chunks(
+        self, members: list[Member], notice: HeldNotice
+    ) -> None:
         """Tell neighbours which chunks are held here."""
-        gossip = self._gossip(GossipKind.HELD)
+        gossip = self._new_gossip(GossipKind.HELD_CHUNKS)
         gossip.notices = [notice]
         for member in members:
             self._send(member, gossip)
 
     def unreachable_zones(self, older_than_s: float) -> list[str]:
         """Give the availability zones not heard from for a while."""
-        here = self.membership.me.availability_zone
+        here = self.membership.own_record.availability_zone
         now = self._clock.now()
         zones = {
             member.availability_zone
@@ -196,7 +206,7 @@
         return sorted(
             zone
             for zone in zones - {here}
-            if now - self.zone_heard.setdefault(zone, now) > older_than_s
+            if now - self.zone_heard_at.setdefault(zone, now) > older_than_s
         )
 
     def datagram_received(self, received: bytes, addr: Any) -> None:
@@ -211,45 +221,45 @@
         except CodecError as exc:
             log(Event.DATAGRAM_DROPPED, code=exc.code, source=str(addr))
             return
-        self._take(gossip, (addr[0], addr[1]))
+        self._handle(gossip, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
         """Ignore an unreachable peer: silence tells the same."""
 
-    def _take(self, gossip: Gossip, source: Address) -> None:
+    def _handle(self, gossip: Gossip, source: Address) -> None:
         now = self._clock.now()
-        self.membership.beat(gossip.sender, now)
+        self.membership.heartbeat_received(gossip.sender, now)
         sender = self.membership.view.members.get(gossip.sender)
         if sender is not None:
-            self.zone_heard[sender.availability_zone] = now
+            self.zone_heard_at[sender.availability_zone] = now
         for member in gossip.members:
-            self.learn(member)
-        if gossip.revision > self.revision or gossip.kind in _TEACHING:
+            self.receive_record(member)
+        if gossip.revision > self.revision or gossip.kind in _REVISION_ANSWERS:
             for listener in self._listeners:
                 listener.revision_seen(gossip.revision, source)
         if gossip.load != _NO_LOAD:
             for hearer in self._listeners:
-                hearer.load_heard(gossip.sender, gossip.load)
+                hearer.load_reported(gossip.sender, gossip.load)
         for notice in gossip.notices:
             for listener in self._listeners:
-                listener.chunks_noticed(notice)
+                listener.chunks_reported(notice)
         self._respond(gossip, source)
 
     def _respond(self, gossip: Gossip, source: Address) -> None:
         if gossip.kind == GossipKind.PING:
-            answer = self._gossip(GossipKind.ACK)
+            answer = self._new_gossip(GossipKind.ACK)
             answer.load = self.load()
             self._send_to(source, answer)
         elif gossip.kind == GossipKind.SYNC:
-            self._answer_sync(gossip, source)
+            self._handle_sync(gossip, source)
         elif gossip.kind == GossipKind.SYNC_REPLY:
             self._send_differing(gossip, source)
 
-    def _answer_sync(self, gossip: Gossip, source: Address) -> None:
+    def _handle_sync(self, gossip: Gossip, source: Address) -> None:
         mine = _DIGESTS.pack(*self.membership.view.buckets)
         if gossip.digests == mine:
             # Equal views need no second set of digests.
-            self._send_to(source, self._gossip(GossipKind.ACK))
+            self._send_to(source, self._new_gossip(GossipKind.ACK))
             return
         self._send_differing(gossip, source)
         self._send_sync(source, GossipKind.SYNC_REPLY)
@@ -258,74 +268,80 @@
         now = self._clock.now()
         for verdict in self.membership.tick(now):
             log(Event.MEMBER_DOUBTED, vm=verdict.vm, status=verdict.status)
-            self.spread(verdict)
+            self.disseminate(verdict)
             for listener in self._listeners:
                 listener.member_changed(verdict)
-        for member in self.membership.silent(now):
-            self._send(member, self._gossip(GossipKind.PING))
+        for member in self.membership.silent_members(now):
+            self._send(member, self._new_gossip(GossipKind.PING))
 
-    def _join(self) -> None:
+    def _retry_join(self) -> None:
         if len(self.membership.view.members) == 1:
-            self.seed(self._peers)
+            self.sync_with(self._peers)
 
-    def _beat(self) -> None:
-        beat = self._gossip(GossipKind.BEAT)
-        for vm in self.membership.duties(self._clock.now()).beat_to:
+    def _send_heartbeats(self) -> None:
+        beat = self._new_gossip(GossipKind.HEARTBEAT)
+        for vm in self.membership.ring_neighbours(
+            self._clock.now()
+        ).heartbeat_to:
             self._send(self.membership.view.members[vm], beat)
 
-    def _sync(self) -> None:
-        for member in pick(self.membership.view.zone_mates(), 1, self._rng):
+    def _sync_own_zone(self) -> None:
+        for member in sample_members(
+            self.membership.view.same_zone(), 1, self._rng
+        ):
             self._send_sync((member.host, member.port), GossipKind.SYNC)
 
-    def _far_sync(self) -> None:
+    def _sync_other_zones(self) -> None:
         # A peer from the settings joins views that never met or split. The
         # whole fleet asks as often as a few processes would, or the peers
         # would carry a load that grows with the fleet.
         known = len(self.membership.view.members)
-        if self._peers and self._rng.random() < _SEEDERS / known:
-            self.seed((self._rng.choice(self._peers),))
-        for member in pick(self.membership.view.strangers(), 1, self._rng):
+        if self._peers and self._rng.random() < _PEER_SYNCS_PER_ROUND / known:
+            self.sync_with((self._rng.choice(self._peers),))
+        for member in sample_members(
+            self.membership.view.other_zones(), 1, self._rng
+        ):
             self._send_sync((member.host, member.port), GossipKind.SYNC)
 
     def _send_sync(self, address: Address, kind: GossipKind) -> None:
-        gossip = self._gossip(kind)
+        gossip = self._new_gossip(kind)
         gossip.digests = _DIGESTS.pack(*self.membership.view.buckets)
-        gossip.members = [self.membership.me]
+        gossip.members = [self.membership.own_record]
         self._send_to(address, gossip)
 
     def _send_differing(self, gossip: Gossip, source: Address) -> None:
         if len(gossip.digests) != _DIGESTS.size:
             return
         theirs = _DIGESTS.unpack(gossip.digests)
-        differing = self.membership.view.differing(theirs)
+        differing = self.membership.view.differing_records(theirs)
         for batch in _batches(differing):
-            self._send_to(source, self._gossip(GossipKind.NEWS, batch))
+            self._send_to(source, self._new_gossip(GossipKind.UPDATE, batch))
 
-    def _send_news(self) -> None:
-        self._flush = None
+    def _send_pending(self) -> None:
+        self._flush_timer = None
         news = list(self._pending.values())
         self._pending.clear()
-        audience = self._audience()
+        audience = self._pick_recipients()
         for batch in _batches(news):
             for member in audience:
-                self._send(member, self._gossip(GossipKind.NEWS, batch))
+                self._send(member, self._new_gossip(GossipKind.UPDATE, batch))
 
-    def _audience(self) -> list[Member]:
+    def _pick_recipients(self) -> list[Member]:
         view = self.membership.view
-        mates = view.zone_mates()
-        chosen = pick(mates, self._cfg.fanout, self._rng)
+        mates = view.same_zone()
+        chosen = sample_members(mates, self._cfg.fanout, self._rng)
         # Each zone passes news on about as often, however many are in it.
         crossings = self._cfg.fanout / (1 + len(mates))
         if self._rng.random() < crossings:
-            chosen += _one_each_zone(view.strangers(), self._rng)
+            chosen += _one_of_each_zone(view.other_zones(), self._rng)
         return chosen
 
-    def _gossip(
+    def _new_gossip(
         self,
         kind: GossipKind,
         members: list[Member] | None = None,
     ) -> Gossip:
-        me = self.membership.me
+        me = self.membership.own_record
         return Gossip(
             sender=me.vm,
             incarnation=me.incarnation,
@@ -344,7 +360,9 @@
         self.sent_bytes += len(datagram) + _HEADER_BYTES
         self._transport.sendto(datagram, address)
 
-    async def _every(self, period_s: float, act: Callable[[], None]) -> None:
+    async def _run_every(
+        self, period_s: float, act: Callable[[], None]
+    ) -> None:
         while True:
             act()
             await asyncio.sleep(period_s * self._rng.uniform(_JITTER_LOW, 1))
@@ -354,7 +372,7 @@
     return _NO_LOAD
 
 
-def _one_each_zone(strangers: list[Member], rng: Random) -> list[Member]:
+def _one_of_each_zone(strangers: list[Member], rng: Random) -> list[Member]:
     zones: dict[str, list[Member]] = {}
     for member in strangers:
         zones.setdefault(member.availability_zone, []).append(member)
@@ -366,7 +384,7 @@
     size = 0
     for member in members:
         length = len(encode(member))
-        if batch and size + length > _DATAGRAM:
+        if batch and size + length > _BATCH_BYTES:
             yield batch
             batch = []
             size = 0
--- a/src/linnetwood/fleet/kvtable.py
+++ b/src/linnetwood/fleet/kvtable.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entry:
+class KeyRecord:
     """One key's bytes and the version that put them there."""
 
     version: int
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Swap:
+class SwapResult:
     """The outcome of a compare-and-swap and what stands now."""
 
     done: bool
@@ -29,11 +29,11 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._entries: dict[str, Entry] = {}
+        self._entries: dict[str, KeyRecord] = {}
         self._leases: dict[int, float] = {}
         self._version = 0
 
-    def get(self, key: str, now: float) -> Entry | None:
+    def get(self, key: str, now: float) -> KeyRecord | None:
         """Give what stands under a key."""
         self._expire(now)
         return self._entries.get(key)
@@ -45,18 +45,18 @@
         expect: int,
         now: float,
         lease: int = 0,
-    ) -> Swap:
+    ) -> SwapResult:
         """Put bytes if the key's version is as expected; 0 means absent."""
         self._expire(now)
         entry = self._entries.get(key)
         standing = entry.version if entry else 0
         if standing != expect or len(payload) > MAX_VALUE:
-            return Swap(False, standing)
+            return SwapResult(False, standing)
         if lease and lease not in self._leases:
-            return Swap(False, standing)
+            return SwapResult(False, standing)
         self._version += 1
-        self._entries[key] = Entry(self._version, payload, lease)
-        return Swap(True, self._version)
+        self._entries[key] = KeyRecord(self._version, payload, lease)
+        return SwapResult(True, self._version)
 
     def grant(self, ttl_s: float, now: float) -> int:
         """Open a lease and give its number."""
--- a/src/linnetwood/fleet/membership.py
+++ b/src/linnetwood/fleet/membership.py
@@ -8,25 +8,25 @@
 from linnetwood.fleet.members import (
     Health,
     copy,
-    newer,
-    place_hash,
-    stamp,
-    statement_hash,
+    hash64,
+    precedence,
+    record_hash,
+    supersedes,
 )
 from linnetwood.gen.wire.ttypes import Member
 
 BUCKETS = 64
-DEAD_KEPT_S = 600.0
+FAILED_KEPT_S = 600.0
 MAX_MEMBERS = 8192
-_PAUSE_TICKS = 4
+_PAUSE_HEARTBEATS = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Duties:
+class RingNeighbours:
     """Whom this process beats to and whom it watches."""
 
-    beat_to: tuple[str, ...]
-    watch: tuple[str, ...]
+    heartbeat_to: tuple[str, ...]
+    watched: tuple[str, ...]
 
 
 class View:
@@ -34,53 +34,53 @@
 
     def __init__(self, me: Member) -> None:
         """Start with oneself."""
-        self.me = me
+        self.own_record = me
         self.members: dict[str, Member] = {}
         self.buckets = [0 for _ in range(BUCKETS)]
-        self.refused = 0
-        self.adopt(me)
+        self.refused_count = 0
+        self.update(me)
 
-    def adopt(self, member: Member) -> bool:
+    def update(self, member: Member) -> bool:
         """Take a statement in if it is newer than the one held."""
         held = self.members.get(member.vm)
-        if held is not None and not newer(member, held):
+        if held is not None and not supersedes(member, held):
             return False
         if held is None and len(self.members) >= MAX_MEMBERS:
-            self.refused += 1
+            self.refused_count += 1
             return False
         bucket = bucket_of(member.vm)
         if held is not None:
-            self.buckets[bucket] ^= statement_hash(held)
-        self.buckets[bucket] ^= statement_hash(member)
+            self.buckets[bucket] ^= record_hash(held)
+        self.buckets[bucket] ^= record_hash(member)
         self.members[member.vm] = member
         return True
 
-    def forget(self, vm: str) -> None:
+    def remove(self, vm: str) -> None:
         """Drop a process for good."""
         held = self.members.pop(vm, None)
         if held is not None:
-            self.buckets[bucket_of(vm)] ^= statement_hash(held)
+            self.buckets[bucket_of(vm)] ^= record_hash(held)
 
-    def zone_mates(self) -> list[Member]:
+    def same_zone(self) -> list[Member]:
         """Give the other processes of this availability zone not held dead."""
         return [
             member
             for member in self.members.values()
-            if member.availability_zone == self.me.availability_zone
-            and member.vm != self.me.vm
+            if member.availability_zone == self.own_record.availability_zone
+            and member.vm != self.own_record.vm
             and member.status != Health.DEAD
         ]
 
-    def strangers(self) -> list[Member]:
+    def other_zones(self) -> list[Member]:
         """Give the processes of other availability zones not held dead."""
         return [
             member
             for member in self.members.values()
-            if member.availability_zone != self.me.availability_zone
+            if member.availability_zone != self.own_record.availability_zone
             and member.status != Health.DEAD
         ]
 
-    def differing(self, theirs: Iterable[int]) -> Iterator[Member]:
+    def differing_records(self, theirs: Iterable[int]) -> Iterator[Member]:
         """Yield the statements of each bucket that differs from theirs."""
         wrong = {
             bucket
@@ -94,7 +94,7 @@
 
 def bucket_of(vm: str) -> int:
     """Give the bucket in which a process is compared."""
-    return place_hash(vm) % BUCKETS
+    return hash64(vm) % BUCKETS
 
 
 class Membership:
@@ -104,94 +104,95 @@
         """Start alone."""
         self.view = View(me)
         self._cfg = cfg
-        self._heard: dict[str, float] = {}
-        self._died: dict[str, float] = {}
+        self._heard_at: dict[str, float] = {}
+        self._failed_at: dict[str, float] = {}
         self._last_tick = now
-        self._duties = Duties((), ())
-        self._duties_stale = True
+        self._neighbours = RingNeighbours((), ())
+        self._neighbours_stale = True
 
     @property
-    def me(self) -> Member:
+    def own_record(self) -> Member:
         """Give the statement this process makes of itself."""
-        return self.view.me
+        return self.view.own_record
 
-    def restate(self, **changes: object) -> Member:
+    def update_self(self, **changes: object) -> Member:
         """Change what this process says of itself."""
-        self.view.me = copy(
-            self.view.me,
-            version=self.view.me.version + 1,
+        self.view.own_record = copy(
+            self.view.own_record,
+            version=self.view.own_record.version + 1,
             **changes,
         )
-        self.view.adopt(self.view.me)
-        return self.view.me
+        self.view.update(self.view.own_record)
+        return self.view.own_record
 
-    def hear(self, member: Member, now: float) -> Member | None:
+    def receive(self, member: Member, now: float) -> Member | None:
         """Take in a statement; give what must be passed on, if anything."""
-        if member.vm == self.me.vm:
-            return self._answer_for_myself(member)
-        if not self.view.adopt(member):
+        if member.vm == self.own_record.vm:
+            return self._refute(member)
+        if not self.view.update(member):
             return None
-        self._duties_stale = True
+        self._neighbours_stale = True
         if member.status == Health.DEAD:
-            self._died[member.vm] = now
+            self._failed_at[member.vm] = now
         else:
-            self._died.pop(member.vm, None)
+            self._failed_at.pop(member.vm, None)
         return member
 
-    def beat(self, vm: str, now: float) -> None:
+    def heartbeat_received(self, vm: str, now: float) -> None:
         """Note a sign of life."""
-        watched = vm in self._heard
+        watched = vm in self._heard_at
         if watched:
-            self._heard[vm] = now
+            self._heard_at[vm] = now
 
-    def duties(self, now: float) -> Duties:
+    def ring_neighbours(self, now: float) -> RingNeighbours:
         """Give whom to beat to and whom to watch."""
-        if self._duties_stale:
-            self._duties = self._work_out_duties()
-            self._duties_stale = False
-            self._heard = {
-                vm: self._heard.get(vm, now) for vm in self._duties.watch
+        if self._neighbours_stale:
+            self._neighbours = self._find_ring_neighbours()
+            self._neighbours_stale = False
+            self._heard_at = {
+                vm: self._heard_at.get(vm, now)
+                for vm in self._neighbours.watched
             }
-        return self._duties
+        return self._neighbours
 
     def tick(self, now: float) -> Iterator[Member]:
         """Yield new suspicions and deaths that follow from silence."""
         gap = now - self._last_tick
         self._last_tick = now
-        if gap > self._cfg.heartbeat_s * _PAUSE_TICKS:
-            self._excuse(gap)
-        for vm in self.duties(now).watch:
-            yield from self._judge(vm, now)
-        self._bury(now)
+        if gap > self._cfg.heartbeat_s * _PAUSE_HEARTBEATS:
+            self._shift_heard_times(gap)
+        for vm in self.ring_neighbours(now).watched:
+            yield from self._check_silence(vm, now)
+        self._remove_long_failed(now)
 
-    def silent(self, now: float) -> list[Member]:
+    def silent_members(self, now: float) -> list[Member]:
         """Give the watched processes that should be asked at once."""
         limit = self._cfg.suspect_after_s / 2
         return [
             self.view.members[vm]
-            for vm, heard in self._heard.items()
+            for vm, heard in self._heard_at.items()
             if now - heard > limit and vm in self.view.members
         ]
 
-    def _answer_for_myself(self, member: Member) -> Member | None:
-        if stamp(member) <= stamp(self.me):
+    def _refute(self, member: Member) -> Member | None:
+        if precedence(member) <= precedence(self.own_record):
             return None
-        if member.incarnation > self.me.incarnation:
+        if member.incarnation > self.own_record.incarnation:
             return None
         if member.status == Health.LEAVING:
             # Others may tell a process to leave, and it says so itself.
-            return self.restate(status=member.status)
-        self.view.me = copy(self.me, version=member.version + 1)
-        self.view.adopt(self.view.me)
-        return self.view.me
+            return self.update_self(status=member.status)
+        self.view.own_record = copy(self.own_record, version=member.version + 1)
+        self.view.update(self.view.own_record)
+        return self.view.own_record
 
-    def _work_out_duties(self) -> Duties:
-        mates = self.view.zone_mates()
+    def _find_ring_neighbours(self) -> RingNeighbours:
+        mates = self.view.same_zone()
         ring = sorted(
-            [member.vm for member in mates] + [self.me.vm],
-            key=place_hash,
+            [member.vm for member in mates] + [self.own_record.vm],
+            key=hash64,
         )
-        here = ring.index(self.me.vm)
+        here = ring.index(self.own_record.vm)
         reach = min(self._cfg.monitors, len(ring) - 1)
         after = [
             ring[(here + step) % len(ring)] for step in range(1, reach + 1)
@@ -199,34 +200,40 @@
         before = [
             ring[(here - step) % len(ring)] for step in range(1, reach + 1)
         ]
-        return Duties(tuple(after), tuple(before))
+        return RingNeighbours(tuple(after), tuple(before))
 
-    def _excuse(self, gap: float) -> None:
+    def _shift_heard_times(self, gap: float) -> None:
         # This process itself was paused, so the silence proves nothing.
-        self._heard = {vm: heard + gap for vm, heard in self._heard.items()}
+        self._heard_at = {
+            vm: heard + gap for vm, heard in self._heard_at.items()
+        }
 
-    def _judge(self, vm: str, now: float) -> Iterator[Member]:
+    def _check_silence(self, vm: str, now: float) -> Iterator[Member]:
         member = self.view.members[vm]
-        silence = now - self._heard.get(vm, now)
+        silence = now - self._heard_at.get(vm, now)
         status = member.status
         if silence > self._cfg.dead_after_s:
             status = Health.DEAD
         elif silence > self._cfg.suspect_after_s:
             status = max(member.status, Health.SUSPECT)
         if status != member.status:
-            verdict = self.hear(copy(member, status=status), now)
+            verdict = self.receive(copy(member, status=status), now)
             if verdict is not None:
                 yield verdict
 
-    def _bury(self, now: float) -> None:
+    def _remove_long_failed(self, now: float) -> None:
         old = [
-            vm for vm, died in self._died.items() if now - died > DEAD_KEPT_S
+            vm
+            for vm, died in self._failed_at.items()
+            if now - died > FAILED_KEPT_S
         ]
         for vm in old:
-            self._died.pop(vm)
-            self.view.forget(vm)
+            self._failed_at.pop(vm)
+            self.view.remove(vm)
 
 
-def pick(members: list[Member], count: int, rng: Random) -> list[Member]:
+def sample_members(
+    members: list[Member], count: int, rng: Random
+) -> list[Member]:
     """Choose some processes at random."""
     return rng.sample(members, min(count, len(members)))
--- a/src/linnetwood/fleet/neighbours.py
+++ b/src/linnetwood/fleet/neighbours.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from linnetwood.fleet.members import HASH_BYTES, place_hash
+from linnetwood.fleet.members import HASH_BYTES, hash64
 
 # As many values as a place on the ring may have.
 _HASHES = float(1 << (8 * HASH_BYTES))
@@ -14,14 +14,14 @@
     Two VMs with the same view choose each other, and the graph over all VMs is
     a random one, whose diameter grows with the logarithm of the fleet.
     """
-    ring = sorted(set(vms) | {me}, key=place_hash)
+    ring = sorted(set(vms) | {me}, key=hash64)
     if len(ring) <= count + 1:
         return [vm for vm in ring if vm != me]
     here = ring.index(me)
     found: list[str] = []
     step = 0
     while len(found) < count:
-        distance = place_hash(f'{manifest}~{step}') % len(ring)
+        distance = hash64(f'{manifest}~{step}') % len(ring)
         step += 1
         for side in (distance, -distance):
             vm = ring[(here + side) % len(ring)]
@@ -48,4 +48,4 @@
 
 def _chance(one: str, other: str, matter: str) -> float:
     first, second = sorted((one, other))
-    return place_hash(f'{matter}|{first}|{second}') / _HASHES
+    return hash64(f'{matter}|{first}|{second}') / _HASHES
--- a/src/linnetwood/fleet/news.py
+++ b/src/linnetwood/fleet/news.py
@@ -6,31 +6,31 @@
 
 from linnetwood.core.errors import CodecError
 from linnetwood.core.events import Event, log
-from linnetwood.fleet.talk import Talk
+from linnetwood.fleet.trafficcounters import TrafficCounters
 from linnetwood.gen.wire.ttypes import News
 from linnetwood.wire import codec
 
 Address = tuple[str, int]
 
 # A line on what was said and heard is logged this often: 0.1% of the datagrams.
-TOLD_EVERY_S = 10.0
+COUNTS_LOGGED_EVERY_S = 10.0
 
 
-class Reader(Protocol):
+class NewsHandler(Protocol):
     """Take in what others send."""
 
-    def heard(self, news: News, source: Address) -> None:
+    def handle_news(self, news: News, source: Address) -> None:
         """Take in one datagram."""
 
 
-class NewsPort(asyncio.DatagramProtocol):
+class NewsSocket(asyncio.DatagramProtocol):
     """Own the UDP socket of a process."""
 
-    def __init__(self, reader: Reader) -> None:
+    def __init__(self, reader: NewsHandler) -> None:
         """Hand what comes in to the reader."""
-        self._reader = reader
-        self._talk = Talk()
-        self._telling: asyncio.TimerHandle | None = None
+        self._handler = reader
+        self._counters = TrafficCounters()
+        self._log_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, host: str, port: int) -> None:
@@ -40,12 +40,14 @@
         sock.setblocking(False)  # noqa: WPS425
         sock.bind((host, port))
         await loop.create_datagram_endpoint(lambda: self, sock=sock)
-        self._telling = loop.call_later(TOLD_EVERY_S, self._tell)
+        self._log_timer = loop.call_later(
+            COUNTS_LOGGED_EVERY_S, self._log_counts
+        )
 
     def close(self) -> None:
         """Stop listening."""
-        if self._telling is not None:
-            self._telling.cancel()
+        if self._log_timer is not None:
+            self._log_timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
@@ -58,11 +60,11 @@
         try:
             news = codec.decode(News, payload)
         except CodecError as exc:
-            self._talk.received(None, len(payload))
+            self._counters.count_received(None, len(payload))
             log(Event.DATAGRAM_DROPPED, source=addr[0], code=exc.code)
             return
-        self._talk.received(news, len(payload))
-        self._reader.heard(news, addr)
+        self._counters.count_received(news, len(payload))
+        self._handler.handle_news(news, addr)
 
     def error_received(self, exc: Exception) -> None:
         """Go on: a process that is away is met again later."""
@@ -73,19 +75,21 @@
         if transport is None or transport.is_closing() or not addresses:
             return
         payload = codec.encode(news)
-        self._talk.sent(news, len(payload), len(addresses))
+        self._counters.count_sent(news, len(payload), len(addresses))
         for address in addresses:
             transport.sendto(payload, address)
 
-    def _tell(self) -> None:
-        for direction, kind, flow in self._talk.take():
+    def _log_counts(self) -> None:
+        for direction, kind, flow in self._counters.take_counts():
             log(
                 Event.TALK_COUNTED,
                 direction=direction,
                 kind=kind,
                 datagrams=flow.datagrams,
-                bytes=flow.octets,
-                span_s=TOLD_EVERY_S,
+                bytes=flow.byte_count,
+                span_s=COUNTS_LOGGED_EVERY_S,
             )
         loop = asyncio.get_running_loop()
-        self._telling = loop.call_later(TOLD_EVERY_S, self._tell)
+        self._log_timer = loop.call_later(
+            COUNTS_LOGGED_EVERY_S, self._log_counts
+        )
--- a/src/linnetwood/fleet/peerlist.py
+++ b/src/linnetwood/fleet/peerlist.py
@@ -12,7 +12,7 @@
 
 from linnetwood.core.errors import CodecError, LinnetwoodError
 from linnetwood.core.events import Event, log
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from linnetwood.gen.wire.ttypes import PeerList, PeerPlace, PeersRequest
 from linnetwood.wire.codec import decode, encode
 from linnetwood.wire.connections import SILENT_S, Address, Dialler
@@ -27,16 +27,16 @@
 # Those of a few services, and the ones before: a greeting may be under way.
 _LISTS_KEPT = 16
 
-Places = Mapping[str, str]
+ZonesByHost = Mapping[str, str]
 
 
-def digest(places: Places) -> int:
+def list_digest(places: ZonesByHost) -> int:
     """Give a number that differs where two lists of zones by host do."""
     rows = (f'{host}={zone}' for host, zone in sorted(places.items()))
-    return place_hash(','.join(rows)) >> (_HASH_BITS - _DIGEST_BITS)
+    return hash64(','.join(rows)) >> (_HASH_BITS - _DIGEST_BITS)
 
 
-class PeerTeller:
+class PeerListServer:
     """Tell the lists of an entry to whoever asks for one."""
 
     __slots__ = ('_packed',)
@@ -45,12 +45,12 @@
         """Know none."""
         self._packed: dict[int, bytes] = {}
 
-    def update(self, places: Places, revision: int) -> int:
+    def update(self, places: ZonesByHost, revision: int) -> int:
         """Tell this list, too, as of a revision of the store; give its digest.
 
         The oldest is forgotten: whoever asks for it hears of another soon.
         """
-        told = digest(places)
+        told = list_digest(places)
         rows = [PeerPlace(*place) for place in sorted(places.items())]
         encoded = encode(PeerList(revision=revision, peers=rows))
         self._packed.pop(told, None)
@@ -66,7 +66,7 @@
         await stream.write(FrameKind.PEERS, packed)
 
 
-class PeerFollower:
+class PeerListClient:
     """Hold the newest list that an entry told; its task owns the connection."""
 
     def __init__(
@@ -75,31 +75,31 @@
         taken: Callable[[dict[str, str]], None],
     ) -> None:
         """Know nothing; hand each newer list on as zones by host."""
-        self.known = False
+        self.is_known = False
         self._dialler = dialler
-        self._taken = taken
+        self._on_list = taken
         self._digest = 0
         self._revision = -1
-        self._asking: asyncio.Task[None] | None = None
+        self._fetch_task: asyncio.Task[None] | None = None
 
     async def close(self) -> None:
         """Ask no more."""
-        if self._asking is not None:
-            self._asking.cancel()
-            await asyncio.gather(self._asking, return_exceptions=True)
+        if self._fetch_task is not None:
+            self._fetch_task.cancel()
+            await asyncio.gather(self._fetch_task, return_exceptions=True)
 
-    def greeted(self, told: int, revision: int, entry: Address) -> None:
+    def digest_received(self, told: int, revision: int, entry: Address) -> None:
         """Ask an entry for its list, if that is another and no older one."""
-        if self.known and told == self._digest:
+        if self.is_known and told == self._digest:
             self._revision = max(self._revision, revision)
             return
-        if revision < self._revision or self._asking is not None:
+        if revision < self._revision or self._fetch_task is not None:
             return
-        self._asking = asyncio.create_task(self._ask(entry, told))
+        self._fetch_task = asyncio.create_task(self._fetch(entry, told))
 
-    async def _ask(self, entry: Address, told: int) -> None:
+    async def _fetch(self, entry: Address, told: int) -> None:
         try:
-            self._take(await self._asked(entry, told), entry)
+            self._apply(await self._request_list(entry, told), entry)
         except LinnetwoodError as exc:
             log(
                 Event.PEERS_UNHEARD,
@@ -108,9 +108,9 @@
                 detail=exc.detail,
             )
         await asyncio.sleep(_PAUSE_S)
-        self._asking = None
+        self._fetch_task = None
 
-    async def _asked(self, entry: Address, told: int) -> PeerList:
+    async def _request_list(self, entry: Address, told: int) -> PeerList:
         request = encode(PeersRequest(digest=told))
         stream = await self._dialler.dial(entry)
         try:
@@ -122,12 +122,12 @@
             raise CodecError('unexpected-frame', frame.kind.name)
         return _unpacked(frame.payload)
 
-    def _take(self, told: PeerList, entry: Address) -> None:
+    def _apply(self, told: PeerList, entry: Address) -> None:
         if told.revision < self._revision:
             return
         places = {one.host: one.zone for one in told.peers}
-        self.known = True
-        self._digest = digest(places)
+        self.is_known = True
+        self._digest = list_digest(places)
         self._revision = told.revision
         log(
             Event.PEERS_TAKEN,
@@ -135,7 +135,7 @@
             revision=told.revision,
             peers=len(places),
         )
-        self._taken(places)
+        self._on_list(places)
 
 
 def _unpacked(packed: bytes) -> PeerList:
--- a/src/linnetwood/fleet/placement.py
+++ b/src/linnetwood/fleet/placement.py
@@ -2,20 +2,20 @@
 
 from collections.abc import Iterable
 
-from linnetwood.fleet.members import ENDPOINT, Health, copy, place_hash
+from linnetwood.fleet.members import ENDPOINT, Health, copy, hash64
 from linnetwood.gen.schema.ttypes import Deployment, Intent
 from linnetwood.gen.wire.ttypes import Member
 
 ENGINE_KIND = 'engine'
-SEPARATOR = '@'
+LABEL_SEPARATOR = '@'
 
 
-def label(model: str, version: str) -> str:
+def version_label(model: str, version: str) -> str:
     """Name a version of a model in one word."""
-    return f'{model}{SEPARATOR}{version}'
+    return f'{model}{LABEL_SEPARATOR}{version}'
 
 
-def with_the_dead(
+def assigned_with_failed(
     deployment: Deployment,
     members: Iterable[Member],
     intent: Intent,
@@ -31,11 +31,11 @@
         else member
         for member in members
     ]
-    chosen = assign(deployment, raised)
+    chosen = assign_intents(deployment, raised)
     return [vm for vm, one in chosen.items() if one is intent]
 
 
-def engines(members: Iterable[Member]) -> list[Member]:
+def engine_members(members: Iterable[Member]) -> list[Member]:
     """Give the engine endpoints that may take weights."""
     return [
         member
@@ -46,7 +46,7 @@
     ]
 
 
-def assign(
+def assign_intents(
     deployment: Deployment, members: Iterable[Member]
 ) -> dict[str, Intent]:
     """Give the intent that each engine VM should carry out.
@@ -55,16 +55,16 @@
     turn, first those that serve its model already, then by rendezvous hash, so
     that two processes with nearly the same view choose nearly the same VMs.
     """
-    free = {member.vm: member for member in engines(members)}
+    free = {member.vm: member for member in engine_members(members)}
     chosen: dict[str, Intent] = {}
     for intent in sorted(deployment.intents, key=lambda one: one.model):
-        for vm in _choose(intent, list(free.values())):
+        for vm in _choose_vms(intent, list(free.values())):
             free.pop(vm)
             chosen[vm] = intent
     return chosen
 
 
-def _choose(intent: Intent, members: list[Member]) -> list[str]:
+def _choose_vms(intent: Intent, members: list[Member]) -> list[str]:
     zones = _by_zone(intent, members)
     queues = [_ranked(intent, zones[zone]) for zone in sorted(zones)]
     chosen: list[str] = []
@@ -89,14 +89,14 @@
 
 
 def _rank(intent: Intent, member: Member) -> tuple[bool, int, int]:
-    serves = member.serving.partition(SEPARATOR)[0] == intent.model
-    score = place_hash(f'{intent.model}|{member.vm}')
+    serves = member.serving.partition(LABEL_SEPARATOR)[0] == intent.model
+    score = hash64(f'{intent.model}|{member.vm}')
     return (not serves, _rack_order(member), score)
 
 
 def _rack_order(member: Member) -> int:
     # A hash of the rack and VM spreads the choice over racks.
-    return place_hash(f'{member.rack}|{member.vm}') % 2
+    return hash64(f'{member.rack}|{member.vm}') % 2
 
 
 def may_load(
@@ -109,20 +109,20 @@
     No more than the intent's spare replicas may be loading among those that
     serve the model; lower hashes go first.
     """
-    wanted = label(intent.model, intent.version)
+    wanted = version_label(intent.model, intent.version)
     waiting = [
         member.vm
-        for member in engines(members)
-        if _waits(member, intent.model, wanted)
+        for member in engine_members(members)
+        if _waits_to_load(member, intent.model, wanted)
     ]
-    waiting.sort(key=lambda vm: place_hash(f'load|{wanted}|{vm}'))
+    waiting.sort(key=lambda vm: hash64(f'load|{wanted}|{vm}'))
     turn = max(1, intent.spare_replicas)
     return me in waiting[:turn]
 
 
-def _waits(member: Member, model: str, wanted: str) -> bool:
+def _waits_to_load(member: Member, model: str, wanted: str) -> bool:
     serves_other = (
-        member.serving.partition(SEPARATOR)[0] == model
+        member.serving.partition(LABEL_SEPARATOR)[0] == model
         and member.serving != wanted
     )
     holds_all = 0 < member.total <= member.held
--- a/src/linnetwood/fleet/progress.py
+++ b/src/linnetwood/fleet/progress.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Mapping
 
 from linnetwood.fleet.members import Health
-from linnetwood.fleet.placement import assign, label
+from linnetwood.fleet.placement import assign_intents, version_label
 from linnetwood.gen.schema.ttypes import Deployment, Intent, RolloutStatus
 from linnetwood.gen.wire.ttypes import Member
 
@@ -22,7 +22,7 @@
     wall: float
 
 
-class Progress:
+class RolloutProgress:
     """Keep a few samples of each rollout and draw the line through them."""
 
     def __init__(self) -> None:
@@ -41,22 +41,22 @@
         What a few VMs said of their transfers, as fractions by VM, stands for
         all that are not complete.
         """
-        chosen = assign(deployment, members)
+        chosen = assign_intents(deployment, members)
         by_name = {member.vm: member for member in members}
         for intent in deployment.intents:
             assigned = [
                 by_name[vm] for vm, one in chosen.items() if one is intent
             ]
-            yield self._one(intent, assigned, sampled, at)
+            yield self._status(intent, assigned, sampled, at)
 
-    def _one(
+    def _status(
         self,
         intent: Intent,
         assigned: list[Member],
         sampled: Mapping[str, float],
         at: Instant,
     ) -> RolloutStatus:
-        wanted = label(intent.model, intent.version)
+        wanted = version_label(intent.model, intent.version)
         complete = sum(1 for member in assigned if _serves(member, wanted))
         fraction = _fraction(intent, assigned, sampled)
         rate = self._rate(wanted, fraction, at.now)
@@ -90,9 +90,9 @@
     return member.serving == wanted and member.status != Health.DEAD
 
 
-def waiting(intent: Intent, assigned: list[Member]) -> list[Member]:
+def incomplete_members(intent: Intent, assigned: list[Member]) -> list[Member]:
     """Give the assigned VMs that do not hold the whole version yet."""
-    wanted = label(intent.model, intent.version)
+    wanted = version_label(intent.model, intent.version)
     return [
         member
         for member in assigned
@@ -107,7 +107,7 @@
 ) -> float:
     if not intent.replicas:
         return 1
-    open_vms = waiting(intent, assigned)
+    open_vms = incomplete_members(intent, assigned)
     known = [sampled[one.vm] for one in open_vms if one.vm in sampled]
     mean = sum(known) / len(known) if known else 0
     held = len(assigned) - len(open_vms) + mean * len(open_vms)
--- a/src/linnetwood/fleet/node.py
+++ b/src/linnetwood/fleet/runtime.py
@@ -32,7 +32,7 @@
 _MILLISECONDS = 1000
 
 
-class Node:
+class Runtime:
     """Own the parts that entries and endpoints share."""
 
     def __init__(
@@ -75,12 +75,12 @@
             watching.statsd_port,
         )
         self.traces: Tracer = open_traces(watching.trace_file, place.vm)
-        self._vms: VmListTask | None = None
+        self._vm_list: VmListTask | None = None
         if platform.vm_list_url:
-            self._vms = VmListTask(
+            self._vm_list = VmListTask(
                 HttpVmList(platform.vm_list_url, self.client),
                 self.gossip,
-                self.config.falls_to_me,
+                self.config.is_watcher,
                 self.rng,
             )
         self._place = place
@@ -102,13 +102,13 @@
         )
         await self.gossip.start(self._place.host, self._place.wire_port, peers)
         await self.config.start(self._platform.watch_wait_s)
-        if self._vms is not None:
-            self._vms.start()
+        if self._vm_list is not None:
+            self._vm_list.start()
 
     async def close(self) -> None:
         """Leave and release everything."""
-        if self._vms is not None:
-            await self._vms.close()
+        if self._vm_list is not None:
+            await self._vm_list.close()
         await self.config.close()
         await self.gossip.close()
         if self._server is not None:
@@ -119,7 +119,7 @@
 
     def leave(self) -> None:
         """Say that this process takes no new work."""
-        self.gossip.restate(status=int(Health.LEAVING))
+        self.gossip.update_self(status=int(Health.LEAVING))
 
     async def _serve_config(self, stream: FrameStream, frame: Frame) -> None:
         request = codec.decode(ConfigRequest, frame.payload)
@@ -127,7 +127,7 @@
         await stream.write(FrameKind.CONFIG_REPLY, codec.encode(reply))
 
 
-def introduce(place: Place, role: str, clock: Clock) -> Member:
+def initial_record(place: Place, role: str, clock: Clock) -> Member:
     """Give the first statement that a process makes of itself."""
     return Member(
         vm=place.vm,
@@ -143,7 +143,7 @@
     )
 
 
-async def until_told(keys: Keys) -> None:
+async def wait_for_stop(keys: Keys) -> None:
     """Wait for a signal to stop; read the keys again on SIGHUP."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
--- a/src/linnetwood/fleet/sampling.py
+++ b/src/linnetwood/fleet/sampling.py
@@ -8,19 +8,19 @@
 from random import Random
 
 from linnetwood.core.errors import LinnetwoodError
-from linnetwood.fleet.placement import assign, label
-from linnetwood.fleet.progress import waiting
+from linnetwood.fleet.placement import assign_intents, version_label
+from linnetwood.fleet.progress import incomplete_members
 from linnetwood.gen.schema.ttypes import Deployment
 from linnetwood.gen.wire.ttypes import Member, TransferProgress
 from linnetwood.wire.codec import decode
 from linnetwood.wire.connections import Dialler
 from linnetwood.wire.frames import FrameKind
 
-_ASKED = 16
+_SAMPLED_VMS = 16
 _TIMEOUT_S = 0.5
 
 
-class Sampler:
+class ProgressSampler:
     """Ask VMs at random over connections of their own."""
 
     def __init__(self, dialler: Dialler, rng: Random) -> None:
@@ -35,38 +35,41 @@
     ) -> dict[str, float]:
         """Give the fraction held by some VMs of each open rollout."""
         by_name = {member.vm: member for member in members}
-        asked = self._choose(deployment, members)
+        asked = self._choose_vms(deployment, members)
         found = await asyncio.gather(
-            *(self._ask(by_name[vm], wanted) for vm, wanted in asked.items()),
+            *(
+                self._fraction_held(by_name[vm], wanted)
+                for vm, wanted in asked.items()
+            ),
         )
         return dict(zip(asked, found, strict=True))
 
-    def _choose(
+    def _choose_vms(
         self,
         deployment: Deployment,
         members: list[Member],
     ) -> dict[str, str]:
-        chosen = assign(deployment, members)
+        chosen = assign_intents(deployment, members)
         asked: dict[str, str] = {}
         for intent in deployment.intents:
             assigned = [one for one in members if chosen.get(one.vm) is intent]
-            open_vms = [one.vm for one in waiting(intent, assigned)]
-            few = self._rng.sample(open_vms, min(_ASKED, len(open_vms)))
-            wanted = label(intent.model, intent.version)
+            open_vms = [one.vm for one in incomplete_members(intent, assigned)]
+            few = self._rng.sample(open_vms, min(_SAMPLED_VMS, len(open_vms)))
+            wanted = version_label(intent.model, intent.version)
             asked.update(dict.fromkeys(few, wanted))
         return asked
 
-    async def _ask(self, member: Member, wanted: str) -> float:
+    async def _fraction_held(self, member: Member, wanted: str) -> float:
         try:
             async with asyncio.timeout(_TIMEOUT_S):
-                progress = await self._exchange(member)
+                progress = await self._request_progress(member)
         except (LinnetwoodError, TimeoutError):
             return 0
         if progress.wanted != wanted or not progress.total:
             return 0
         return progress.held / progress.total
 
-    async def _exchange(self, member: Member) -> TransferProgress:
+    async def _request_progress(self, member: Member) -> TransferProgress:
         stream = await self._dialler.dial((member.host, member.port))
         try:
             await stream.write(FrameKind.PROGRESS_REQUEST, b'')
--- a/src/linnetwood/fleet/schema.py
+++ b/src/linnetwood/fleet/schema.py
@@ -14,7 +14,7 @@
 
 from linnetwood.core.errors import SchemaError
 from linnetwood.fleet import configuration
-from linnetwood.fleet.tokens import Tokens, Tree
+from linnetwood.fleet.tokens import ConstantParser, ValueTree
 from linnetwood.gen.schema.ttypes import Deployment, Weigh
 
 IDL_FOLDER = pathlib.Path(__file__).parent.parent / 'idl'
@@ -45,10 +45,10 @@
         text = pathlib.Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
         raise SchemaError('schema-unreadable', f'{path}: {exc}') from exc
-    tree = Tokens(text, path).constant(DEPLOYMENT_TYPE)
+    tree = ConstantParser(text, path).parse_constant(DEPLOYMENT_TYPE)
     deployment: Deployment = _Builder(path).struct(Deployment, tree, '')
     _check_grammar(path)
-    faults = list(configuration.faults(deployment))
+    faults = list(configuration.validation_errors(deployment))
     if faults:
         raise SchemaError(
             'schema-contradiction', f'{path}: {"; ".join(faults)}'
@@ -69,24 +69,24 @@
     def __init__(self, path: str) -> None:
         self._path = path
 
-    def struct(self, kind: Any, tree: Tree, field: str) -> Any:
+    def struct(self, kind: Any, tree: ValueTree, field: str) -> Any:
         if tree.kind != '{':
-            raise self._bad(tree, field, 'a map')
+            raise self._field_error(tree, field, 'a map')
         specs = {spec[2]: spec for spec in kind.thrift_spec if spec}
         found: dict[str, Any] = {}
         for key, child in tree.pairs:
             name = str(key.scalar)
             inner = _inside(field, name)
             if name in found:
-                raise self._bad(key, inner, 'each field once')
+                raise self._field_error(key, inner, 'each field once')
             if name not in specs:
-                raise self._bad(key, inner, f'one of {sorted(specs)}')
+                raise self._field_error(key, inner, f'one of {sorted(specs)}')
             found[name] = self._typed(specs[name][1:4], child, inner)
         built = kind(**found)
         self._complete(built, tree, field)
         return built
 
-    def _complete(self, built: Any, tree: Tree, field: str) -> None:
+    def _complete(self, built: Any, tree: ValueTree, field: str) -> None:
         for spec in built.thrift_spec:
             if spec and getattr(built, spec[2]) is None:
                 name = _inside(field, spec[2])
@@ -96,7 +96,7 @@
                     'found nothing, it must be given',
                 )
 
-    def _typed(self, spec: Any, tree: Tree, field: str) -> Any:
+    def _typed(self, spec: Any, tree: ValueTree, field: str) -> Any:
         kind, name, extra = spec
         if kind == TType.STRUCT:
             return self.struct(extra[0], tree, field)
@@ -107,33 +107,35 @@
             return self._enum(enum, tree, field)
         return self._scalar(kind, tree, field)
 
-    def _sequence(self, extra: Any, tree: Tree, field: str) -> list[Any]:
+    def _sequence(self, extra: Any, tree: ValueTree, field: str) -> list[Any]:
         if tree.kind != '[':
-            raise self._bad(tree, field, 'a list')
+            raise self._field_error(tree, field, 'a list')
         return [
             self._typed((extra[0], '', extra[1]), child, f'{field}[{place}]')
             for place, child in enumerate(tree.trees)
         ]
 
-    def _enum(self, kind: Any, tree: Tree, field: str) -> int:
+    def _enum(self, kind: Any, tree: ValueTree, field: str) -> int:
         names = kind._NAMES_TO_VALUES
         word = str(tree.scalar).rpartition('.')[2]
         if tree.kind != 'IDENTIFIER' or word not in names:
-            raise self._bad(tree, field, f'one of {sorted(names)}')
+            raise self._field_error(tree, field, f'one of {sorted(names)}')
         return int(names[word])
 
-    def _scalar(self, kind: int, tree: Tree, field: str) -> Any:
+    def _scalar(self, kind: int, tree: ValueTree, field: str) -> Any:
         if tree.kind != _KINDS[kind]:
-            raise self._bad(tree, field, _ALLOWED[kind])
+            raise self._field_error(tree, field, _ALLOWED[kind])
         if kind in _BITS and abs(tree.scalar) >> _BITS[kind]:
-            raise self._bad(tree, field, _ALLOWED[kind])
+            raise self._field_error(tree, field, _ALLOWED[kind])
         return tree.scalar
 
-    def _bad(self, tree: Tree, field: str, allowed: str) -> SchemaError:
+    def _field_error(
+        self, tree: ValueTree, field: str, allowed: str
+    ) -> SchemaError:
         return SchemaError(
             'schema-bad-field',
             f'{self._path}:{tree.line}: field {field or "deployment"}: '
-            f'found {tree.shown()}, allowed is {allowed}',
+            f'found {tree.describe()}, allowed is {allowed}',
         )
 
 
--- a/src/linnetwood/fleet/store.py
+++ b/src/linnetwood/fleet/store.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stored:
+class StoredValue:
     """A key's bytes and version; version 0 means that the key is absent."""
 
     version: int
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Swapped:
+class SwapOutcome:
     """Whether a compare-and-swap took effect, and the standing version."""
 
     done: bool
@@ -39,17 +39,19 @@
 class KeyValue(Protocol):
     """Read, swap and watch keys."""
 
-    async def get(self, key: str) -> Stored:
+    async def get(self, key: str) -> StoredValue:
         """Read a key; raise StoreError when the service does not answer."""
 
-    async def swap(self, key: str, payload: bytes, expect: int) -> Swapped:
+    async def swap(self, key: str, payload: bytes, expect: int) -> SwapOutcome:
         """Write a key if its version is as expected, or 0 for absent.
 
         Raises StoreError when surely nothing was written, and
         StoreAnswerLostError when the write may have taken effect.
         """
 
-    async def wait(self, key: str, after: int, wait_s: float) -> Stored | None:
+    async def wait(
+        self, key: str, after: int, wait_s: float
+    ) -> StoredValue | None:
         """Wait for a version above the given one; None when none came."""
 
 
@@ -67,33 +69,35 @@
         self._timeout_s = timeout_s
         self._client = client
 
-    async def get(self, key: str) -> Stored:
+    async def get(self, key: str) -> StoredValue:
         """Read a key."""
-        reply = await self._fetch(HTTPRequest(self._place(key)))
+        reply = await self._fetch(HTTPRequest(self._key_url(key)))
         if reply.code == _ABSENT:
-            return Stored(0, b'')
+            return StoredValue(0, b'')
         return _stored(reply)
 
-    async def swap(self, key: str, payload: bytes, expect: int) -> Swapped:
+    async def swap(self, key: str, payload: bytes, expect: int) -> SwapOutcome:
         """Write a key if its version is as expected."""
-        url = f'{self._place(key)}?expect={expect}'
+        url = f'{self._key_url(key)}?expect={expect}'
         reply = await self._fetch(
             HTTPRequest(url, method='PUT', body=payload),
         )
         if reply.code == NO_ANSWER:
             raise StoreAnswerLostError('store-answer-lost', key)
         version = int(reply.headers.get(VERSION_HEADER, 0))
-        return Swapped(reply.code != _CONFLICT, version)
+        return SwapOutcome(reply.code != _CONFLICT, version)
 
-    async def wait(self, key: str, after: int, wait_s: float) -> Stored | None:
+    async def wait(
+        self, key: str, after: int, wait_s: float
+    ) -> StoredValue | None:
         """Wait for a newer version of a key."""
-        url = f'{self._place(key)}?after={after}&wait={wait_s}'
+        url = f'{self._key_url(key)}?after={after}&wait={wait_s}'
         reply = await self._fetch(HTTPRequest(url), extra_s=wait_s)
         if reply.code in {_UNCHANGED, _ABSENT}:
             return None
         return _stored(reply)
 
-    def _place(self, key: str) -> str:
+    def _key_url(self, key: str) -> str:
         return f'{self._url}/kv/{quote(key, safe="")}'
 
     async def _fetch(
@@ -111,8 +115,8 @@
         return reply
 
 
-def _stored(reply: HTTPResponse) -> Stored:
+def _stored(reply: HTTPResponse) -> StoredValue:
     version = reply.headers.get(VERSION_HEADER, '')
     if not version.isdigit():
         raise StoreError('store-bad-answer', f'status {reply.code}')
-    return Stored(int(version), reply.body)
+    return StoredValue(int(version), reply.body)
--- a/src/linnetwood/fleet/tokens.py
+++ b/src/linnetwood/fleet/tokens.py
@@ -18,43 +18,43 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Tree:
+class ValueTree:
     """One value in the file: a scalar, a list of trees or pairs of trees."""
 
     line: int
     kind: str
     scalar: Any = None
-    trees: tuple['Tree', ...] = ()
-    pairs: tuple[tuple['Tree', 'Tree'], ...] = ()
+    trees: tuple['ValueTree', ...] = ()
+    pairs: tuple[tuple['ValueTree', 'ValueTree'], ...] = ()
 
-    def shown(self) -> str:
+    def describe(self) -> str:
         """Show what was found."""
         if self.kind == '{':
             return 'a map'
         return 'a list' if self.kind == '[' else repr(self.scalar)
 
 
-class Tokens:
+class ConstantParser:
     """Step through a file's tokens."""
 
     def __init__(self, text: str, path: str) -> None:
         """Cut the text into tokens, or raise SchemaError."""
         self._path = path
-        self._tokens = list(_cut(text, path))
-        self._at = 0
+        self._tokens = list(_tokenize(text, path))
+        self._position = 0
 
-    def constant(self, type_name: str) -> Tree:
+    def parse_constant(self, type_name: str) -> ValueTree:
         """Give the value of the one constant of a type."""
         for place, token in enumerate(self._tokens):
-            if token.type == 'CONST' and self._names(place, type_name):
-                self._at = place + 4
+            if token.type == 'CONST' and self._declares(place, type_name):
+                self._position = place + 4
                 return self._tree()
         raise SchemaError(
             'schema-no-deployment',
             f'{self._path}: found no constant of type {type_name}',
         )
 
-    def _names(self, place: int, type_name: str) -> bool:
+    def _declares(self, place: int, type_name: str) -> bool:
         following = self._tokens[place + 1 : place + 4]
         return (
             len(following) == 3
@@ -62,27 +62,27 @@
             and following[2].value == '='
         )
 
-    def _tree(self) -> Tree:
+    def _tree(self) -> ValueTree:
         token = self._next()
         if token.value in _OPENING and token.type == token.value:
             if token.value == '[':
-                return Tree(token.lineno, '[', trees=tuple(self._trees()))
-            return Tree(token.lineno, '{', pairs=tuple(self._pairs()))
+                return ValueTree(token.lineno, '[', trees=tuple(self._trees()))
+            return ValueTree(token.lineno, '{', pairs=tuple(self._pairs()))
         if token.type not in _SCALARS:
-            raise self._bad(token.lineno, token.value, 'a value')
-        return Tree(token.lineno, token.type, token.value)
+            raise self._syntax_error(token.lineno, token.value, 'a value')
+        return ValueTree(token.lineno, token.type, token.value)
 
-    def _trees(self) -> Iterator[Tree]:
+    def _trees(self) -> Iterator[ValueTree]:
         while not self._closes(']'):
             yield self._tree()
             self._skip_separator()
 
-    def _pairs(self) -> Iterator[tuple[Tree, Tree]]:
+    def _pairs(self) -> Iterator[tuple[ValueTree, ValueTree]]:
         while not self._closes('}'):
             key = self._tree()
             colon = self._next()
             if colon.value != ':':
-                raise self._bad(colon.lineno, colon.value, "':'")
+                raise self._syntax_error(colon.lineno, colon.value, "':'")
             yield key, self._tree()
             self._skip_separator()
 
@@ -97,24 +97,28 @@
             self._next()
 
     def _peek(self) -> Any:
-        if self._at >= len(self._tokens):
+        if self._position >= len(self._tokens):
             last = self._tokens[-1].lineno
-            raise self._bad(last, 'the end of the file', 'more of the constant')
-        return self._tokens[self._at]
+            raise self._syntax_error(
+                last, 'the end of the file', 'more of the constant'
+            )
+        return self._tokens[self._position]
 
     def _next(self) -> Any:
         token = self._peek()
-        self._at += 1
+        self._position += 1
         return token
 
-    def _bad(self, line: int, found: object, allowed: str) -> SchemaError:
+    def _syntax_error(
+        self, line: int, found: object, allowed: str
+    ) -> SchemaError:
         return SchemaError(
             'schema-syntax',
             f'{self._path}:{line}: found {found!r}, allowed is {allowed}',
         )
 
 
-def _cut(text: str, path: str) -> Iterator[Any]:
+def _tokenize(text: str, path: str) -> Iterator[Any]:
     lexer = lex.lex(module=thrift_lexer)
     lexer.input(text)
     try:
--- a/src/linnetwood/fleet/talk.py
+++ b/src/linnetwood/fleet/trafficcounters.py
@@ -12,41 +12,41 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Flow:
+class TrafficCount:
     """Datagrams of one kind, and their bytes with headers."""
 
     datagrams: int = 0
-    octets: int = 0
+    byte_count: int = 0
 
 
-class Talk:
+class TrafficCounters:
     """Add up both directions since they were last taken."""
 
-    __slots__ = ('_flows',)
+    __slots__ = ('_counts',)
 
     def __init__(self) -> None:
         """Begin at nought."""
-        self._flows: dict[tuple[str, str], Flow] = {}
+        self._counts: dict[tuple[str, str], TrafficCount] = {}
 
-    def sent(self, news: News, size: int, count: int) -> None:
+    def count_sent(self, news: News, size: int, count: int) -> None:
         """Count a message that went to so many processes."""
         self._count('sent', _kind(news), size, count)
 
-    def received(self, news: News | None, size: int) -> None:
+    def count_received(self, news: News | None, size: int) -> None:
         """Count a message that came; None if it could not be read."""
         self._count('received', _kind(news), size, 1)
 
-    def take(self) -> Iterator[tuple[str, str, Flow]]:
+    def take_counts(self) -> Iterator[tuple[str, str, TrafficCount]]:
         """Yield direction, kind and sums, and begin anew."""
-        flows = self._flows
-        self._flows = {}
+        flows = self._counts
+        self._counts = {}
         for (direction, kind), flow in flows.items():
             yield direction, kind, flow
 
     def _count(self, direction: str, kind: str, size: int, count: int) -> None:
-        flow = self._flows.setdefault((direction, kind), Flow())
+        flow = self._counts.setdefault((direction, kind), TrafficCount())
         flow.datagrams += count
-        flow.octets += count * (size + HEADER_BYTES)
+        flow.byte_count += count * (size + HEADER_BYTES)
 
 
 def _kind(news: News | None) -> str:
--- a/src/linnetwood/fleet/vmlist.py
+++ b/src/linnetwood/fleet/vmlist.py
@@ -54,7 +54,7 @@
             raise StoreError('vm-list-bad-answer', repr(exc)) from exc
 
 
-def told_to_leave(
+def leaving_records(
     members: dict[str, Member],
     listed: frozenset[str],
 ) -> Iterator[Member]:
@@ -77,21 +77,21 @@
         self,
         vm_list: VmList,
         gossip: GossipTask,
-        falls_to_me: 'WatchDuty',
+        falls_to_me: 'IsWatcher',
         rng: Random,
     ) -> None:
         """Start nothing yet."""
         super().__init__()
         self._vm_list = vm_list
         self._gossip = gossip
-        self._falls_to_me = falls_to_me
+        self._is_watcher = falls_to_me
         self._rng = rng
 
     async def _run(self) -> None:
         failures = 0
         while True:
             await asyncio.sleep(_EVERY_S * self._rng.uniform(_JITTER_LOW, 1))
-            if not self._falls_to_me():
+            if not self._is_watcher():
                 continue
             try:
                 listed = await self._vm_list.leaving()
@@ -101,14 +101,14 @@
                 await asyncio.sleep(backoff_s(failures, self._rng))
                 continue
             failures = 0
-            self._tell(listed)
+            self._mark_leaving(listed)
 
-    def _tell(self, listed: frozenset[str]) -> None:
-        for statement in told_to_leave(self._gossip.members, listed):
-            self._gossip.learn(statement)
+    def _mark_leaving(self, listed: frozenset[str]) -> None:
+        for statement in leaving_records(self._gossip.members, listed):
+            self._gossip.receive_record(statement)
 
 
-class WatchDuty(Protocol):
+class IsWatcher(Protocol):
     """Tell whether this process is one of those that ask the platform."""
 
     def __call__(self) -> bool:
--- a/src/linnetwood/fleet/wanted.py
+++ b/src/linnetwood/fleet/wanted.py
@@ -9,17 +9,17 @@
 # The age of a version that serves and was never named.
 NOT_NAMED = -1
 # Older versions than these are no longer anybody's bound.
-MOST_TOLD = 4
+MAX_VERSIONS_SENT = 4
 # Calls stop going to an older version this long before they have to. Over a
 # narrowed link some took 1.3 to 2 s to arrive: this makes late ones seldom.
-MARGIN_S = 1.2
+SEND_MARGIN_S = 1.2
 # A call that has not begun by then is taken back; so long it may take to
 # reach an endpoint that it is.
 START_MARGIN_S = 0.8
 # Whoever learns of a version has told it everywhere by then (a greeting).
-TOLD_WITHIN_S = 1.0
+SPREAD_WITHIN_S = 1.0
 # An engine finishes what it runs before it takes a version (measured).
-SWITCH_S = 1.8
+ENGINE_SWITCH_S = 1.8
 
 
 class WantedVersions:
@@ -32,7 +32,7 @@
         self._guessed: set[tuple[str, int]] = set()
         self._serving: dict[str, int] = {}
 
-    def name(
+    def add_named(
         self,
         model: str,
         version: int,
@@ -58,18 +58,18 @@
             self._guessed.add((model, version))
         return newest
 
-    def serving(self, found: Iterable[tuple[str, int]]) -> None:
+    def add_serving(self, found: Iterable[tuple[str, int]]) -> None:
         """Take in the versions that engines serve, named or not."""
         for model, version in found:
             if version > self._serving.get(model, 0):
                 self._serving[model] = version
 
-    def version(self, model: str) -> int:
+    def newest(self, model: str) -> int:
         """Give the version to bring everywhere; 0 if none is known."""
         newest = max(self._named.get(model, {}), default=0)
         return max(self._serving.get(model, 0), newest)
 
-    def aim(
+    def next_target(
         self,
         model: str,
         serving: int,
@@ -84,8 +84,8 @@
         older comes first where that leaves less time without an engine. All
         VMs judge by the same times, so all bring the same.
         """
-        both_s = 2 * transfer_s + SWITCH_S - self.bound_s + MARGIN_S
-        aim = self.version(model)
+        both_s = 2 * transfer_s + ENGINE_SWITCH_S - self.bound_s + SEND_MARGIN_S
+        aim = self.newest(model)
         named = self._named.get(model, {})
         for version in sorted(named, reverse=True):
             if not serving < version < aim:
@@ -96,7 +96,7 @@
                 aim = version
         return aim
 
-    def known(self) -> dict[str, tuple[int, ...]]:
+    def versions_by_model(self) -> dict[str, tuple[int, ...]]:
         """Give the versions of each model: what serves, then all named."""
         return {model: self._versions(model) for model in self.models()}
 
@@ -104,27 +104,27 @@
         """Give every model of which a version is known."""
         return sorted({*self._named, *self._serving})
 
-    def least(self, model: str, now: float) -> int:
+    def oldest_allowed(self, model: str, now: float) -> int:
         """Give the oldest version that a call may still start on; 0 for any.
 
         Each named version has its own bound: a newer one extends none.
         """
-        due = now - self.bound_s + MARGIN_S
+        due = now - self.bound_s + SEND_MARGIN_S
         named = self._named.get(model, {})
         return max(
             (version for version, since in named.items() if since <= due),
             default=0,
         )
 
-    def closing(self, model: str) -> tuple[tuple[int, float], ...]:
+    def cutoffs(self, model: str) -> tuple[tuple[int, float], ...]:
         """Give each named version and from when calls start on none before."""
         named = self._named.get(model, {})
         return tuple(
-            (version, since + self.bound_s - MARGIN_S)
+            (version, since + self.bound_s - SEND_MARGIN_S)
             for version, since in named.items()
         )
 
-    def start_by(self, model: str, version: int) -> float:
+    def start_deadline(self, model: str, version: int) -> float:
         """Give until when a call may begin on a version; inf for any time."""
         named = self._named.get(model, {})
         newer = [since for one, since in named.items() if one > version]
@@ -134,9 +134,9 @@
     def cutoff(self, model: str, version: int) -> float | None:
         """Give from when calls start on this version only, if it was named."""
         since = self._named.get(model, {}).get(version)
-        return None if since is None else since + self.bound_s - MARGIN_S
+        return None if since is None else since + self.bound_s - SEND_MARGIN_S
 
-    def told(
+    def to_messages(
         self,
         target: str,
         models: Iterable[str],
@@ -149,7 +149,7 @@
             serving = self._serving.get(model, 0)
             if serving and serving not in named:
                 rows.append(WantedWeights(target, model, serving, NOT_NAMED))
-            for version, since in sorted(named.items())[-MOST_TOLD:]:
+            for version, since in sorted(named.items())[-MAX_VERSIONS_SENT:]:
                 age_ms = int((now - since) * _MILLISECONDS)
                 guessed = (model, version) in self._guessed
                 rows.append(
@@ -157,7 +157,7 @@
                 )
         return rows
 
-    def heard(
+    def apply_messages(
         self,
         rows: Iterable[WantedWeights],
         now: float,
@@ -171,14 +171,14 @@
         """
         for row in rows:
             if row.age_ms < 0:
-                self.serving([(row.model, row.version)])
+                self.add_serving([(row.model, row.version)])
             else:
                 since = now - row.age_ms / _MILLISECONDS
                 guessed = bool(row.guessed)
                 if guessed and steady and not self._knows(row):
                     guessed = False
-                    since = max(since, now - TOLD_WITHIN_S)
-                self.name(row.model, row.version, since, guessed=guessed)
+                    since = max(since, now - SPREAD_WITHIN_S)
+                self.add_named(row.model, row.version, since, guessed=guessed)
 
     def _versions(self, model: str) -> tuple[int, ...]:
         named = sorted(self._named.get(model, ()))
--- a/src/linnetwood/fleet/watching.py
+++ b/src/linnetwood/fleet/watching.py
@@ -10,8 +10,8 @@
 from linnetwood.core.events import Event, log
 from linnetwood.fleet import configuration
 from linnetwood.fleet.gossip import Address, GossipTask, Listener
-from linnetwood.fleet.members import Health, place_hash
-from linnetwood.fleet.store import KeyValue, Stored
+from linnetwood.fleet.members import Health, hash64
+from linnetwood.fleet.store import KeyValue, StoredValue
 from linnetwood.gen.schema.ttypes import Configuration, Deployment
 from linnetwood.gen.wire.ttypes import (
     ConfigReply,
@@ -30,7 +30,7 @@
 _ZONE_SILENT_S = 12.0
 
 
-def watchers(
+def choose_watchers(
     members: list[Member],
     region: str,
     cut_off: list[str],
@@ -49,7 +49,7 @@
         and member.status == Health.ALIVE
         and member.availability_zone not in cut_off
     ]
-    return sorted(able, key=lambda vm: place_hash(f'watch|{vm}'))[:count]
+    return sorted(able, key=lambda vm: hash64(f'watch|{vm}'))[:count]
 
 
 class ConfigTask(Listener):
@@ -64,9 +64,9 @@
         rng: Random,
     ) -> None:
         """Start with the empty configuration."""
-        self.standing = configuration.empty()
+        self.current = configuration.empty()
         self.encoded = b''
-        self.learned = False
+        self.is_loaded = False
         self.store_reachable = False
         self._store = store
         self._gossip = gossip
@@ -78,18 +78,18 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._fetching = 0
 
-    def listen(self, listener: Callable[[Configuration], None]) -> None:
+    def add_listener(self, listener: Callable[[Configuration], None]) -> None:
         """Add somebody who wants each newer configuration."""
         self._listeners.append(listener)
 
     @property
     def deployment(self) -> Deployment:
         """Give the deployment in force."""
-        return self.standing.deployment
+        return self.current.deployment
 
     async def start(self, wait_s: float) -> None:
         """Begin to watch, if it falls to this process."""
-        self._gossip.listen(self)
+        self._gossip.add_listener(self)
         self._spawn(self._watch(wait_s))
 
     async def close(self) -> None:
@@ -100,11 +100,11 @@
 
     def adopt(self, encoded: bytes) -> None:
         """Put a configuration in force unless it is older."""
-        self.learned = True
+        self.is_loaded = True
         arrived = configuration.unpack(encoded)
-        if arrived.revision <= self.standing.revision:
+        if arrived.revision <= self.current.revision:
             return
-        self.standing = arrived
+        self.current = arrived
         self.encoded = encoded
         log(Event.CONFIG_ADOPTED, revision=arrived.revision)
         self._gossip.announce_revision(arrived.revision)
@@ -113,28 +113,28 @@
 
     def revision_seen(self, revision: int, source: Address) -> None:
         """Fetch a newer revision from the process that has it."""
-        if revision <= self.standing.revision:
-            self.learned = True
-        if revision > max(self._fetching, self.standing.revision):
+        if revision <= self.current.revision:
+            self.is_loaded = True
+        if revision > max(self._fetching, self.current.revision):
             self._fetching = revision
             self._spawn(self._fetch(source))
 
-    def falls_to_me(self) -> bool:
+    def is_watcher(self) -> bool:
         """Tell whether this process is one of those that ask the platform."""
         membership = self._gossip.membership
-        chosen = watchers(
+        chosen = choose_watchers(
             list(membership.view.members.values()),
-            membership.me.region,
+            membership.own_record.region,
             self._gossip.unreachable_zones(_ZONE_SILENT_S),
         )
-        return membership.me.vm in chosen
+        return membership.own_record.vm in chosen
 
     def reply(self, above: int) -> ConfigReply:
         """Answer a peer's request with what is in force here."""
-        if self.standing.revision <= above:
-            return ConfigReply(revision=self.standing.revision)
+        if self.current.revision <= above:
+            return ConfigReply(revision=self.current.revision)
         return ConfigReply(
-            revision=self.standing.revision,
+            revision=self.current.revision,
             encoded=self.encoded,
         )
 
@@ -148,7 +148,7 @@
 
     async def _fetch_from(self, source: Address) -> None:
         stream = await self._dialler.dial(source)
-        request = ConfigRequest(above=self.standing.revision)
+        request = ConfigRequest(above=self.current.revision)
         try:
             await stream.write(FrameKind.CONFIG_REQUEST, encode(request))
             frame = await stream.read_within(SILENT_S)
@@ -161,7 +161,7 @@
     async def _watch(self, wait_s: float) -> None:
         failures = 0
         while True:
-            if not self.falls_to_me():
+            if not self.is_watcher():
                 await asyncio.sleep(_IDLE_S * self._rng.uniform(0.5, 1))
                 continue
             try:
@@ -183,11 +183,11 @@
         else:
             found = await self._store.get(configuration.CONFIG_KEY)
         if found is not None:
-            self._take(found)
+            self._apply_stored(found)
 
-    def _take(self, stored: Stored) -> None:
+    def _apply_stored(self, stored: StoredValue) -> None:
         self.store_reachable = True
-        self.learned = True
+        self.is_loaded = True
         self._version = stored.version
         if stored.version:
             self.adopt(stored.payload)
--- a/src/linnetwood/lab/histories.py
+++ b/src/linnetwood/lab/histories.py
@@ -20,7 +20,7 @@
     unknown,
 )
 from linnetwood.fleet.members import ENDPOINT, Health, copy
-from linnetwood.fleet.placement import ENGINE_KIND, label
+from linnetwood.fleet.placement import ENGINE_KIND, version_label
 from linnetwood.gen.schema.ttypes import Deployment, Intent, Model, Version
 from linnetwood.gen.wire.ttypes import Head, Member, Start
 from linnetwood.lab.checking import Effect, History, Seen, Stop
@@ -29,7 +29,7 @@
 from linnetwood.wire.frames import FrameKind, FrameStream
 
 MODEL = 'sevak'
-VERSIONS = (label(MODEL, 'v1'), label(MODEL, 'v2'))
+VERSIONS = (version_label(MODEL, 'v1'), version_label(MODEL, 'v2'))
 TOKENS = 4
 _ENTRIES = 2
 _ENGINES = 3
--- a/src/linnetwood/lab/measure_burst.py
+++ b/src/linnetwood/lab/measure_burst.py
@@ -13,7 +13,7 @@
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
 from linnetwood.core.events import Event
-from linnetwood.fleet.placement import label
+from linnetwood.fleet.placement import version_label
 from linnetwood.gen.schema.ttypes import (
     Deployment,
     Intent,
@@ -130,7 +130,7 @@
 
 
 def _complete(fleet: Fleet, version: str) -> int:
-    wanted = label(MODEL, version)
+    wanted = version_label(MODEL, version)
     with OperatorClient(fleet.operators()) as calls:
         return sum(
             1
--- a/src/linnetwood/lab/measure_control.py
+++ b/src/linnetwood/lab/measure_control.py
@@ -77,7 +77,7 @@
     before = tracemalloc.get_traced_memory()[0]
     view = View(_member(0))
     for number in range(1, processes):
-        view.adopt(_member(number))
+        view.update(_member(number))
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     return (after - before) / _KIB_IN_MIB / _KIB_IN_MIB
--- a/src/linnetwood/lab/policy.py
+++ b/src/linnetwood/lab/policy.py
@@ -28,7 +28,7 @@
 from linnetwood.calls.routebook import Service
 from linnetwood.calls.standing import Report, Standing
 from linnetwood.core.options import Decisions
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from linnetwood.lab.sheets import MODEL, SHEETS, Kind, Sheet
 
 # Tokens that an engine reads in a pass at most.
@@ -276,7 +276,7 @@
             MODEL,
             enough_s=kind.target_s
             - lateness.allowed_s(kind.target_s, self._now),
-            lot=place_hash(str(self._rng.random())),
+            lot=hash64(str(self._rng.random())),
         )
         choice = chooser.choose(need, (), self._now)
         wait_s = came_at + self._fleet.patience_s - self._now
--- a/src/linnetwood/lab/transfers.py
+++ b/src/linnetwood/lab/transfers.py
@@ -155,7 +155,7 @@
         self._ways = ways
         self._rng = Random(seed)
         self._wanted = WantedVersions(place.bound_s)
-        self._wanted.serving([(MODEL, 1)])
+        self._wanted.add_serving([(MODEL, 1)])
         self._zones = {
             f'10.{number % place.zones}.0.{number}': f'z{number % place.zones}'
             for number in range(place.vms)
@@ -186,7 +186,7 @@
     def _name(self, now: float) -> None:
         while self._unnamed and self._unnamed[0][1] <= now:
             version, at = self._unnamed.pop(0)
-            self._wanted.name(MODEL, version, at)
+            self._wanted.add_named(MODEL, version, at)
 
     def _is_away(self, vm: _Vm, now: float) -> bool:
         since, until = self._place.away
@@ -347,7 +347,7 @@
 
     def _wants(self, vm: _Vm) -> Iterator[int]:
         yield vm.aim
-        newest = self._wanted.version(MODEL)
+        newest = self._wanted.newest(MODEL)
         swarm = vm.swarms.get(vm.aim)
         if newest == vm.aim or swarm is None:
             return
@@ -425,7 +425,7 @@
         if math.isinf(vm.switched_at):
             if now < self._change_at(vm):
                 return
-            idle = self._wanted.least(MODEL, now) > vm.serving
+            idle = self._wanted.oldest_allowed(MODEL, now) > vm.serving
             finishes_s = _FINISHES_S[0]
             if not idle:
                 finishes_s = self._rng.uniform(*_FINISHES_S)
@@ -446,7 +446,7 @@
         )
 
     def _count(self, now: float) -> None:
-        least = self._wanted.least(MODEL, now)
+        least = self._wanted.oldest_allowed(MODEL, now)
         without = sum(vm.serving < least for vm in self._vms.values())
         self.outcome.without_s += _STEP_S * without / len(self._vms)
 
--- a/src/linnetwood/platform/feeds.py
+++ b/src/linnetwood/platform/feeds.py
@@ -17,7 +17,6 @@
 from linnetwood.platform.endboard import EndFeed
 from linnetwood.platform.ignored import Ignored
 
-
 _NO_REGIONS: Mapping[str, str] = MappingProxyType({})
 
 
@@ -96,7 +95,7 @@
             if guessed:
                 age_s = self._wanted.bound_s / 2
             since = self._clock.now() - age_s
-            if self._wanted.name(model, version, since, guessed=guessed):
+            if self._wanted.add_named(model, version, since, guessed=guessed):
                 log(
                     Event.VERSION_NAMED,
                     model=model,
--- a/src/linnetwood/programs/endpoint.py
+++ b/src/linnetwood/programs/endpoint.py
@@ -12,8 +12,8 @@
 from linnetwood.core.trust import Keys
 from linnetwood.fleet.gossip import Listener
 from linnetwood.fleet.members import ENDPOINT, Health, copy
-from linnetwood.fleet.node import Node, introduce, until_told
 from linnetwood.fleet.placement import ENGINE_KIND
+from linnetwood.fleet.runtime import Runtime, initial_record, wait_for_stop
 from linnetwood.gen.wire.ttypes import DrainOrder, Member, TransferProgress
 from linnetwood.programs import daemon
 from linnetwood.weights.agent import WeightsAgent
@@ -38,7 +38,7 @@
     def __init__(self, cfg: EndpointOptions) -> None:
         """Build; start nothing."""
         self._cfg = cfg
-        self.node = Node(
+        self.runtime = Runtime(
             cfg.place,
             cfg.platform,
             cfg.gossiping,
@@ -49,7 +49,7 @@
         )
         self.tally = Tally()
         self.guard = self._build_guard()
-        self.node.gossip.load = self.guard.load
+        self.runtime.gossip.load = self.guard.load
         self._link = self._build_link()
         self._uploads = Uploads(
             ChunkStore(),
@@ -64,7 +64,7 @@
 
     async def start(self) -> None:
         """Join the others and begin to serve."""
-        await self.node.start(
+        await self.runtime.start(
             self._cfg.peers,
             {
                 FrameKind.START: self.guard.serve,
@@ -73,9 +73,9 @@
                 FrameKind.PROGRESS_REQUEST: self._serve_progress,
             },
         )
-        self.node.gossip.listen(self)
+        self.runtime.gossip.add_listener(self)
         if self.agent is not None:
-            self.node.config.listen(self.agent.configured)
+            self.runtime.config.add_listener(self.agent.configured)
             self.agent.start()
         self._epochs = asyncio.create_task(self._advance_epochs())
 
@@ -88,7 +88,7 @@
             self._epochs.cancel()
         if self.agent is not None:
             await self.agent.close()
-        await self.node.close()
+        await self.runtime.close()
 
     def drain(self) -> None:
         """Take no new work from now on."""
@@ -96,7 +96,7 @@
             return
         self.guard.state.leaving = True
         log(Event.DRAINING, in_flight=self.guard.state.in_flight)
-        self.node.leave()
+        self.runtime.leave()
 
     def member_changed(self, member: Member) -> None:
         """Obey when others say that this VM is leaving."""
@@ -108,45 +108,45 @@
         state = GuardState(backend.kind, backend.name, backend.slots)
         memory = KeyMemory(
             self._cfg.place.vm,
-            self.node.gossip.me.incarnation,
+            self.runtime.gossip.own_record.incarnation,
             self._cfg.key_epoch_s,
             self._cfg.keys_remembered,
-            self.node.clock.now(),
+            self.runtime.clock.now(),
         )
         self._memory = memory
-        return Guard(state, self._build_backend(), memory, self.node.traces)
+        return Guard(state, self._build_backend(), memory, self.runtime.traces)
 
     def _build_backend(self) -> Backend:
         backend = self._cfg.backend
         if backend.kind == ENGINE_KIND:
-            return EngineBackend(backend.url, self.node.client)
-        return ServiceBackend(backend.url, self.node.client)
+            return EngineBackend(backend.url, self.runtime.client)
+        return ServiceBackend(backend.url, self.runtime.client)
 
     def _build_link(self) -> Link:
         rate = self._cfg.transfer.link_bytes_per_s
-        return PacedLink(rate, self.node.clock) if rate else OpenLink()
+        return PacedLink(rate, self.runtime.clock) if rate else OpenLink()
 
     def _build_agent(self) -> WeightsAgent:
         cfg = self._cfg
         tools = Tools(
             me=cfg.place.vm,
             store=self._uploads.store,
-            fetcher=Fetcher(cfg.place.vm, self.node.dialler, self._link),
+            fetcher=Fetcher(cfg.place.vm, self.runtime.dialler, self._link),
             uploads=self._uploads,
             origin=HttpWeightStore(
                 cfg.transfer.origin_url,
                 _ORIGIN_TIMEOUT_S,
-                self.node.client,
+                self.runtime.client,
             ),
             link=self._link,
-            clock=self.node.clock,
-            rng=self.node.rng,
+            clock=self.runtime.clock,
+            rng=self.runtime.rng,
             tally=self.tally,
-            metrics=self.node.metrics,
+            metrics=self.runtime.metrics,
             cfg=cfg.transfer,
         )
-        orders = HttpOrders(cfg.backend.url, self.node.client)
-        return WeightsAgent(tools, self.node.gossip, orders, self.guard)
+        orders = HttpOrders(cfg.backend.url, self.runtime.client)
+        return WeightsAgent(tools, self.runtime.gossip, orders, self.guard)
 
     async def _serve_drain(self, stream: FrameStream, frame: Frame) -> None:
         codec.decode(DrainOrder, frame.payload)
@@ -162,13 +162,13 @@
     async def _advance_epochs(self) -> None:
         while True:
             await asyncio.sleep(_EPOCH_CHECK_S)
-            if self._memory.advance(self.node.clock.now()):
+            if self._memory.advance(self.runtime.clock.now()):
                 log(Event.KEYS_FORGOTTEN, epoch=self._memory.epoch)
-                self.node.gossip.restate(key_epoch=self._memory.epoch)
+                self.runtime.gossip.update_self(key_epoch=self._memory.epoch)
 
 
 def _introduce(cfg: EndpointOptions) -> Member:
-    member = introduce(cfg.place, ENDPOINT, SystemClock())
+    member = initial_record(cfg.place, ENDPOINT, SystemClock())
     return copy(
         member,
         kind=ENGINE_KIND
@@ -183,7 +183,7 @@
     """Fetch and serve weights, order the VM's engine, guard its calls."""
     endpoint = Endpoint(cfg)
     await endpoint.start()
-    await until_told(endpoint.node.keys)
+    await wait_for_stop(endpoint.runtime.keys)
     log(Event.STOPPING)
     await endpoint.close()
 
--- a/src/linnetwood/programs/entry.py
+++ b/src/linnetwood/programs/entry.py
@@ -16,8 +16,8 @@
 from linnetwood.core.options import EntryOptions
 from linnetwood.core.trust import Keys
 from linnetwood.fleet.gossip import Listener
-from linnetwood.fleet.members import ENTRY, usable
-from linnetwood.fleet.node import Node, introduce, until_told
+from linnetwood.fleet.members import ENTRY, accepts_work
+from linnetwood.fleet.runtime import Runtime, initial_record, wait_for_stop
 from linnetwood.gen.schema.ttypes import Configuration
 from linnetwood.gen.wire.ttypes import Member
 from linnetwood.programs import daemon
@@ -34,40 +34,40 @@
     def __init__(self, cfg: EntryOptions) -> None:
         """Build; start nothing."""
         self._cfg = cfg
-        self.node = Node(
+        self.runtime = Runtime(
             cfg.place,
             cfg.platform,
             cfg.gossiping,
             cfg.watching,
-            introduce(cfg.place, ENTRY, SystemClock()),
+            initial_record(cfg.place, ENTRY, SystemClock()),
             open_small_client(_MAX_CLIENTS),
             Keys(cfg.trust),
         )
         self.routes = Routes(
             cfg.place.availability_zone,
             POLICIES[cfg.routing](),
-            self.node.rng,
+            self.runtime.rng,
         )
         self.dispatcher = Dispatcher(
             self.routes,
-            self.node.dialler,
-            self.node.clock,
-            self.node.metrics,
-            self.node.gossip.probe,
+            self.runtime.dialler,
+            self.runtime.clock,
+            self.runtime.metrics,
+            self.runtime.gossip.probe,
         )
         self.gate = Admission(
             Bounds(cfg.queue_limit, cfg.queue_wait_s),
             self.capacity,
-            self.node.clock,
+            self.runtime.clock,
         )
         self.desk = callers.Desk(
             self.dispatcher,
             self.routes,
             self.gate,
-            self.node.clock,
-            self.node.metrics,
+            self.runtime.clock,
+            self.runtime.metrics,
             cfg.call_timeout_s,
-            self.node.traces,
+            self.runtime.traces,
         )
         self._leaving = False
         self._http = HTTPServer(
@@ -75,15 +75,15 @@
             max_body_size=callers.MAX_BODY,
         )
         self._operators = OperatorServer(
-            OperatorCalls(self.node),
-            self.node.keys.server,
+            OperatorCalls(self.runtime),
+            self.runtime.keys.server,
         )
 
     async def start(self) -> None:
         """Join the others and begin to serve callers and operators."""
-        self.node.gossip.listen(self)
-        self.node.config.listen(self.configured)
-        await self.node.start(self._cfg.peers, {})
+        self.runtime.gossip.add_listener(self)
+        self.runtime.config.add_listener(self.configured)
+        await self.runtime.start(self._cfg.peers, {})
         host = self._cfg.place.host
         self._operators.add_sockets(
             bind_sockets(self._cfg.operators_port, host),
@@ -93,18 +93,18 @@
     async def close(self) -> None:
         """Send callers elsewhere, finish what is under way, then leave."""
         self._leaving = True
-        self.node.leave()
+        self.runtime.leave()
         await self._drained()
         self._http.stop()
         await self._http.close_all_connections()
         self._operators.stop()
-        await self.node.close()
+        await self.runtime.close()
 
     def reason(self) -> str:
         """Say why the balancer should send calls elsewhere."""
         if self._leaving:
             return 'leaving'
-        if not self.node.config.learned:
+        if not self.runtime.config.is_loaded:
             return 'no configuration learned yet'
         return ''
 
@@ -124,20 +124,22 @@
         if member.role == ENTRY:
             self.routes.entries = self._entries()
 
-    def load_heard(self, vm: str, load: int) -> None:
+    def load_reported(self, vm: str, load: int) -> None:
         """Choose by the newest word of an endpoint's load."""
-        self.routes.load(vm).report(load, self.node.clock.now())
+        self.routes.load(vm).report(load, self.runtime.clock.now())
 
     def _entries(self) -> int:
         """Count the entries that share the endpoints, at least this one."""
-        members = self.node.gossip.members.values()
-        found = sum(1 for one in members if one.role == ENTRY and usable(one))
+        members = self.runtime.gossip.members.values()
+        found = sum(
+            1 for one in members if one.role == ENTRY and accepts_work(one)
+        )
         return max(1, found)
 
     async def _drained(self) -> None:
-        until = self.node.clock.now() + self._cfg.drain_limit_s
+        until = self.runtime.clock.now() + self._cfg.drain_limit_s
         while self.gate.under_way:
-            if self.node.clock.now() > until:
+            if self.runtime.clock.now() > until:
                 log(Event.STOP_LIMIT_REACHED, in_flight=self.gate.under_way)
                 return
             await asyncio.sleep(_DRAIN_CHECK_S)
@@ -147,7 +149,7 @@
     """Answer callers and operators on an entry VM."""
     entry = Entry(cfg)
     await entry.start()
-    await until_told(entry.node.keys)
+    await wait_for_stop(entry.runtime.keys)
     log(Event.STOPPING)
     await entry.close()
 
--- a/src/linnetwood/programs/operators.py
+++ b/src/linnetwood/programs/operators.py
@@ -16,12 +16,12 @@
 from linnetwood.core.sizes import MIB
 from linnetwood.core.trust import OPERATE, READ, Operator, operator_of
 from linnetwood.fleet import configuration as rules
-from linnetwood.fleet.changes import Changes
+from linnetwood.fleet.changes import ConfigChanges
 from linnetwood.fleet.configuration import Proposal
-from linnetwood.fleet.members import ENDPOINT, ENTRY, Health, usable
-from linnetwood.fleet.node import Node
-from linnetwood.fleet.progress import Instant, Progress
-from linnetwood.fleet.sampling import Sampler
+from linnetwood.fleet.members import ENDPOINT, ENTRY, Health, accepts_work
+from linnetwood.fleet.progress import Instant, RolloutProgress
+from linnetwood.fleet.runtime import Runtime
+from linnetwood.fleet.sampling import ProgressSampler
 from linnetwood.gen.schema import Operators
 from linnetwood.gen.schema.ttypes import (
     Answer,
@@ -59,12 +59,14 @@
 class OperatorCalls:
     """Carry out what operators ask."""
 
-    def __init__(self, node: Node) -> None:
+    def __init__(self, runtime: Runtime) -> None:
         """Work with the parts of the entry."""
-        self._node = node
-        self._progress = Progress()
-        self._sampler = Sampler(node.dialler, node.rng)
-        self._changes = Changes(node.store, node.clock, node.config.adopt)
+        self._runtime = runtime
+        self._progress = RolloutProgress()
+        self._sampler = ProgressSampler(runtime.dialler, runtime.rng)
+        self._changes = ConfigChanges(
+            runtime.store, runtime.clock, runtime.config.adopt
+        )
 
     async def apply(
         self,
@@ -92,7 +94,7 @@
         operator_name: str,
     ) -> Answer:
         """Set the intent for one model."""
-        standing = self._node.config.deployment
+        standing = self._runtime.config.deployment
         summary = f'start {intent.model} {intent.version} x{intent.replicas}'
         return await self._propose(
             Proposal(
@@ -112,7 +114,7 @@
         operator_name: str,
     ) -> Answer:
         """Go back to what the model's intent replaced."""
-        standing = self._node.config.deployment
+        standing = self._runtime.config.deployment
         try:
             deployment = rules.without_rollout(standing, model)
         except ConfigError as exc:
@@ -133,32 +135,34 @@
 
     async def configuration(self) -> Configuration:
         """Give what is in force here."""
-        return self._node.config.standing
+        return self._runtime.config.current
 
     async def status(self) -> Status:
         """Give the fleet and its rollouts as this entry sees them."""
         members = self._members()
-        me = self._node.gossip.me
-        clock = self._node.clock
+        me = self._runtime.gossip.own_record
+        clock = self._runtime.clock
         rollouts = self._progress.report(
-            self._node.config.deployment,
+            self._runtime.config.deployment,
             members,
-            await self._sampler.sample(self._node.config.deployment, members),
+            await self._sampler.sample(
+                self._runtime.config.deployment, members
+            ),
             Instant(clock.now(), clock.wall()),
         )
         return Status(
             vm=me.vm,
             availability_zone=me.availability_zone,
-            revision=self._node.config.standing.revision,
-            platform_reachable=self._node.config.store_reachable,
+            revision=self._runtime.config.current.revision,
+            platform_reachable=self._runtime.config.store_reachable,
             entries=_count(members, ENTRY),
             endpoints=_count(members, ENDPOINT),
-            unreachable_zones=self._node.gossip.unreachable_zones(
+            unreachable_zones=self._runtime.gossip.unreachable_zones(
                 _ZONE_SILENT_S,
             ),
             rollouts=list[RolloutStatus](rollouts),
-            control_bytes_sent=self._node.gossip.sent_bytes,
-            control_bytes_received=self._node.gossip.received_bytes,
+            control_bytes_sent=self._runtime.gossip.sent_bytes,
+            control_bytes_received=self._runtime.gossip.received_bytes,
         )
 
     async def endpoints(self) -> list[EndpointStatus]:
@@ -171,7 +175,7 @@
 
     async def drain(self, vm: str, operator_name: str) -> None:
         """Tell an endpoint to take no new work."""
-        member = self._node.gossip.members.get(vm)
+        member = self._runtime.gossip.members.get(vm)
         if member is None or member.role != ENDPOINT:
             raise Refusal('unknown-vm', f'{vm} is no endpoint known here')
         try:
@@ -181,7 +185,7 @@
             raise Refusal('drain-not-known', f'{vm}: {exc}') from exc
 
     async def _drain(self, member: Member, operator_name: str) -> None:
-        stream = await self._node.dialler.dial((member.host, member.port))
+        stream = await self._runtime.dialler.dial((member.host, member.port))
         try:
             order = DrainOrder(operator_name=operator_name)
             await stream.write(FrameKind.DRAIN, codec.encode(order))
@@ -190,10 +194,10 @@
             stream.close()
 
     def _members(self) -> list[Member]:
-        return list(self._node.gossip.members.values())
+        return list(self._runtime.gossip.members.values())
 
     async def _propose(self, proposal: Proposal) -> Answer:
-        faults = list(rules.faults(proposal.deployment))
+        faults = list(rules.validation_errors(proposal.deployment))
         if faults:
             raise Refusal('bad-deployment', '; '.join(faults))
         if not proposal.operation_id or not proposal.operator_name:
@@ -204,7 +208,7 @@
 
 
 def _count(members: list[Member], role: str) -> int:
-    return sum(1 for one in members if one.role == role and usable(one))
+    return sum(1 for one in members if one.role == role and accepts_work(one))
 
 
 def _endpoint_status(member: Member) -> EndpointStatus:
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -5,12 +5,15 @@
 
 from linnetwood.calls.candidates import NEAR_MOST
 from linnetwood.core.clock import Clock
+from linnetwood.fleet.elsewhere import teller_place
 from linnetwood.fleet.hosts import pack
 from linnetwood.fleet.lastsaid import LastSaid
-from linnetwood.fleet.listeners import Greeting, Listeners
-from linnetwood.fleet.news import Address, NewsPort
-from linnetwood.fleet.peerlist import PeerFollower
-from linnetwood.fleet.elsewhere import teller_place
+from linnetwood.fleet.news import Address, NewsSocket
+from linnetwood.fleet.peerlist import PeerListClient
+from linnetwood.fleet.reportsubscribers import (
+    ReportSubscribers,
+    ReportSubscription,
+)
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import (
     EngineNews,
@@ -67,10 +70,10 @@
         self._wanted = wanted
         self._origin = origin
         self._inflow = inflow
-        self._news = NewsPort(self)
-        self._listeners = Listeners(clock.now())
+        self._news = NewsSocket(self)
+        self._listeners = ReportSubscribers(clock.now())
         self._last_said = LastSaid()
-        self._peers = PeerFollower(TcpDialler(), self._learned)
+        self._peers = PeerListClient(TcpDialler(), self._learned)
         self._rng = Random()
         self._number = 0
         self._known: dict[str, tuple[int, ...]] = {}
@@ -92,9 +95,9 @@
     @property
     def every_s(self) -> float:
         """Give the pace at which entries are told, in seconds."""
-        return self._listeners.every_s(self._cfg.zone)
+        return self._listeners.own_zone_every_s(self._cfg.zone)
 
-    def heard(self, news: News, source: Address) -> None:
+    def handle_news(self, news: News, source: Address) -> None:
         """Take in what entries and peers tell."""
         if news.entry is not None:
             self._heard_entry(news.entry, source)
@@ -118,25 +121,25 @@
 
     def _heard_entry(self, entry: EntryNews, source: Address) -> None:
         now = self._clock.now()
-        greeting = Greeting(
+        greeting = ReportSubscription(
             entry.number,
             entry.zone,
             entry.every_ms / _MILLISECONDS,
             entry.stands_for_pct / _PERCENT,
         )
-        self._listeners.heard(source, greeting, now)
-        near = self._listeners.of_zone(self._cfg.zone)
+        self._listeners.subscribe(source, greeting, now)
+        near = self._listeners.in_zone(self._cfg.zone)
         if not near or source in near:
             # The list need not cross the link that a whole region shares.
             told = entry.peers_digest
-            self._peers.greeted(told, entry.peers_revision, source)
-        if not self._peers.known:
+            self._peers.digest_received(told, entry.peers_revision, source)
+        if not self._peers.is_known:
             # Alone it would read all from the origin: whoever greets next
             # tells the same again.
             return
-        told_for_s = self._listeners.told_for_s(now)
+        told_for_s = self._listeners.unbroken_for_s(now)
         steady = told_for_s > self._cfg.version_bound_s
-        self._wanted.heard(entry.wanted, now, steady=steady)
+        self._wanted.apply_messages(entry.wanted, now, steady=steady)
         self._follower.around.origin_bytes_per_s = entry.origin_bytes_per_s
         self._follower.around.chunk_bytes = entry.chunk_bytes
         size = entry.chunks * entry.chunk_bytes
@@ -144,7 +147,7 @@
         self._follower.transfer_s = size / share
         if entry.origin:
             self._origin.address = address(entry.origin)
-        known = self._wanted.known()
+        known = self._wanted.versions_by_model()
         if known != self._known:
             self._known = known
             self._follower.wake()
@@ -154,10 +157,10 @@
         self._follower.wake()
 
     def _report(self, report: EngineReport, now: float) -> None:
-        due = self._listeners.due(self._cfg.zone, now)
-        newcomers = set(self._listeners.newcomers(now))
+        due = self._listeners.take_due(self._cfg.zone, now)
+        newcomers = set(self._listeners.new_subscribers(now))
         engine = self._engine_news(report, now)
-        wanted = self._wanted.told('', self._wanted.models(), now)
+        wanted = self._wanted.to_messages('', self._wanted.models(), now)
         for every_s, addresses in due.items():
             engine.every_ms = int(every_s * _MILLISECONDS)
             for part, alike in self._by_part(addresses, now):
@@ -180,7 +183,7 @@
             running=report.running,
             serving=max(report.serving.values(), default=0),
             changing=report.changing or self._follower.draining,
-            entries=self._listeners.entries(now),
+            entries=self._listeners.entry_count(now),
             way_ms=int(self._inflow.tell_way_s(now) * _MILLISECONDS),
             born=report.born,
         )
@@ -196,11 +199,11 @@
     ) -> Iterator[tuple[float, list[Address]]]:
         """Yield entries with the part of a limit that each of them has."""
         zone = self._cfg.zone
-        inside = set(self._listeners.of_zone(zone))
+        inside = set(self._listeners.in_zone(zone))
         for near in (True, False):
             alike = [one for one in addresses if (one in inside) is near]
             if alike:
-                yield self._listeners.part(zone, now, near=near), alike
+                yield self._listeners.quota_share(zone, now, near=near), alike
 
     def _tell_neighbours(self, now: float) -> None:
         if now - self._neighbours_at < _NEIGHBOURS_EVERY_S:
@@ -246,7 +249,7 @@
         return [host for host, _ in self._in_turn(zone)[:_FEW]]
 
     def _in_turn(self, zone: str) -> list[Address]:
-        near = self._listeners.of_zone(zone)
+        near = self._listeners.in_zone(zone)
         return sorted(near, key=lambda one: teller_place(one[0]))
 
     def _tell_held(self, now: float) -> None:
--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -64,7 +64,7 @@
 
     def start(self) -> None:
         """Begin to follow."""
-        self._gossip.listen(self)
+        self._gossip.add_listener(self)
         self._tasks = [
             asyncio.create_task(self._run()),
             asyncio.create_task(self._tell_held()),
@@ -103,7 +103,7 @@
         if standing is None or revision <= standing.revision:
             self._keeper.pauses.confirm()
 
-    def chunks_noticed(self, notice: HeldNotice) -> None:
+    def chunks_reported(self, notice: HeldNotice) -> None:
         """Take in what a neighbour holds."""
         if self.download is not None and self.download.name == notice.manifest:
             self.download.notice(notice)
@@ -152,8 +152,10 @@
         if self._configuration is None:
             return
         members = list(self._gossip.members.values())
-        chosen = placement.assign(self._configuration.deployment, members)
-        intent = chosen.get(self._gossip.me.vm)
+        chosen = placement.assign_intents(
+            self._configuration.deployment, members
+        )
+        intent = chosen.get(self._gossip.own_record.vm)
         target = self._target(intent)
         if target != self.target:
             await self._retarget(target)
@@ -161,7 +163,7 @@
         if assigned != self._assigned and intent is not None:
             self._assigned = assigned
             deployment = self._configuration.deployment
-            ring = placement.with_the_dead(deployment, members, intent)
+            ring = placement.assigned_with_failed(deployment, members, intent)
             self._ring = sorted({*assigned, *ring})
             self._meet_neighbours()
 
@@ -170,7 +172,7 @@
             return None
         deployment = self._configuration.deployment
         manifest = manifest_of(deployment, intent.model, intent.version)
-        label = placement.label(intent.model, intent.version)
+        label = placement.version_label(intent.model, intent.version)
         return Target(label, manifest, intent)
 
     async def _retarget(self, target: Target | None) -> None:
@@ -188,8 +190,8 @@
             log(Event.TRANSFER_DROPPED, manifest=self.download.name)
         self.download = None
         self._staging = None
-        if self._gossip.me.wanted:
-            self._gossip.restate(wanted='', held=0, total=0)
+        if self._gossip.own_record.wanted:
+            self._gossip.update_self(wanted='', held=0, total=0)
 
     async def _begin(self, target: Target) -> None:
         if await self._keeper.believe(target):
@@ -213,7 +215,7 @@
         if known is not None:
             return known
         ring = Ring(target.manifest, self._assigned)
-        me = self._gossip.me.vm
+        me = self._gossip.own_record.vm
         policy = SharedReading(
             me, ring, 0, swarm_options(self._tools.cfg, len(self._assigned), 1)
         )
@@ -278,10 +280,12 @@
             len(self._assigned),
             manifest.chunk_bytes,
         )
-        return SharedReading(self._gossip.me.vm, ring, count, cfg, before)
+        return SharedReading(
+            self._gossip.own_record.vm, ring, count, cfg, before
+        )
 
     def _neighbour_members(self) -> list[Member]:
-        me = self._gossip.me.vm
+        me = self._gossip.own_record.vm
         view = self._gossip.members
         manifest = self.target.manifest if self.target else ''
         chosen = neighbours(
@@ -328,12 +332,12 @@
             return
         self._noticed = (download.swarm.held, now)
         notice = HeldNotice(
-            sender=self._gossip.me.vm,
+            sender=self._gossip.own_record.vm,
             manifest=download.name,
             held=chunks.to_bytes(download.swarm.held, download.swarm.count),
             queued=self._tools.uploads.queued,
         )
-        self._gossip.tell_held(self._neighbour_members(), notice)
+        self._gossip.send_held_chunks(self._neighbour_members(), notice)
 
     async def _put_in_service(
         self,
--- a/src/linnetwood/weights/follower.py
+++ b/src/linnetwood/weights/follower.py
@@ -8,7 +8,7 @@
 from linnetwood.core.events import Event, log
 from linnetwood.core.options import Decisions
 from linnetwood.core.waits import happened
-from linnetwood.fleet.wanted import SWITCH_S, WantedVersions
+from linnetwood.fleet.wanted import ENGINE_SWITCH_S, WantedVersions
 from linnetwood.gen.wire.ttypes import HeldNotice
 from linnetwood.weights import chunks, waves
 from linnetwood.weights.engine import Engine, EngineReport, Order, Origin
@@ -155,7 +155,7 @@
         if now_s - self._ordered_at >= _SETTLE_S:
             # An order that led to nothing by now is given again.
             self._taken = None
-        self._wanted.serving(report.serving.items())
+        self._wanted.add_serving(report.serving.items())
         planned = self._newest(now_s)
         if planned is None:
             return
@@ -203,7 +203,7 @@
         if self.aim != newest:
             yield self.aim
             return
-        after = Aim(newest.model, self._wanted.version(newest.model))
+        after = Aim(newest.model, self._wanted.newest(newest.model))
         brought = outlook.brought.get(newest.version)
         if after == newest or brought is None:
             return
@@ -228,7 +228,7 @@
         return waves.change_at(
             self._complete_at,
             cutoff,
-            SWITCH_S,
+            ENGINE_SWITCH_S,
             first=first,
         )
 
@@ -257,7 +257,7 @@
             before=outlook.aim,
             closing_in_s={
                 one: round(at - outlook.now, 1)
-                for one, at in self._wanted.closing(outlook.model)
+                for one, at in self._wanted.cutoffs(outlook.model)
             },
             lacking={
                 one: found.lacking for one, found in outlook.brought.items()
--- a/src/linnetwood/weights/keeper.py
+++ b/src/linnetwood/weights/keeper.py
@@ -70,17 +70,19 @@
         # The engine was started anew, or somebody else gave it an order.
         log(Event.ORDER_REFUSED, code='engine-changed', version=target.label)
         self._guard.state.serving = ''
-        self._gossip.restate(serving='')
+        self._gossip.update_self(serving='')
         return False
 
     def may_load(self, target: Target, total: int) -> bool:
         """Tell whether it is this VM's turn to leave service for a load."""
-        me = self._gossip.me
+        me = self._gossip.own_record
         if not me.serving:
             return True
         if me.wanted != target.label:
             # Only now do the others need to know that this VM holds it all.
-            self._gossip.restate(wanted=target.label, held=total, total=total)
+            self._gossip.update_self(
+                wanted=target.label, held=total, total=total
+            )
         members = self._gossip.members.values()
         return placement.may_load(me.vm, target.intent, members)
 
@@ -88,7 +90,7 @@
         """Take no calls, and wait for every call in progress, however long."""
         self._guard.state.loading = True
         self._guard.state.serving = ''
-        self._gossip.restate(serving='')
+        self._gossip.update_self(serving='')
         await self._guard.idle.wait()
 
     async def order(
@@ -114,7 +116,7 @@
         """Take calls for the target, and say so."""
         self._guard.state.serving = target.label
         self._guard.state.loading = False
-        self._gossip.restate(
+        self._gossip.update_self(
             serving=target.label,
             wanted=target.label,
             held=total,
--- a/src/linnetwood/weights/manifests.py
+++ b/src/linnetwood/weights/manifests.py
@@ -17,7 +17,7 @@
 from linnetwood.core.errors import LinnetwoodError, WeightsError
 from linnetwood.core.events import Event, log
 from linnetwood.core.waits import happened
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from linnetwood.gen.wire.ttypes import ChunkReply
 from linnetwood.weights import chunks
 from linnetwood.weights.engine import Origin
@@ -60,7 +60,7 @@
 
 def rank(me: str, vms: set[str], name: str) -> int:
     """Give this VM's place among those of its zone; all agree on it."""
-    order = sorted(vms | {me}, key=lambda vm: place_hash(f'{name}|read|{vm}'))
+    order = sorted(vms | {me}, key=lambda vm: hash64(f'{name}|read|{vm}'))
     return order.index(me)
 
 
--- a/src/linnetwood/weights/reading.py
+++ b/src/linnetwood/weights/reading.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.takeover import Away, TakeOver, after_the_rest
@@ -22,7 +22,7 @@
     def __init__(self, manifest: str, vms: Iterable[str]) -> None:
         """Place each VM at several points."""
         self._points = sorted(
-            (place_hash(f'{manifest}|{vm}|{point}'), vm)
+            (hash64(f'{manifest}|{vm}|{point}'), vm)
             for vm in vms
             for point in range(_RING_POINTS)
         )
@@ -33,9 +33,7 @@
     def readers(self, index: int, count: int) -> list[str]:
         """Give the VMs that should read a chunk, first choice first."""
         found: dict[str, None] = {}
-        start = bisect_right(
-            self._keys, place_hash(f'{self._manifest}#{index}')
-        )
+        start = bisect_right(self._keys, hash64(f'{self._manifest}#{index}'))
         for _, vm in self._points[start:] + self._points[:start]:
             found[vm] = None
             if len(found) == count:
--- a/src/linnetwood/weights/versionplan.py
+++ b/src/linnetwood/weights/versionplan.py
@@ -11,7 +11,7 @@
 from types import MappingProxyType
 from typing import Final, Protocol
 
-from linnetwood.fleet.wanted import SWITCH_S, WantedVersions
+from linnetwood.fleet.wanted import ENGINE_SWITCH_S, WantedVersions
 
 # A plan is left for one that saves more than reckoning errs by: what is given
 # up half done was brought for nothing.
@@ -65,7 +65,7 @@
 
     def aim(self, wanted: WantedVersions, outlook: Outlook) -> int:
         """Give the version to bring next."""
-        return wanted.aim(
+        return wanted.next_target(
             outlook.model,
             outlook.serving,
             outlook.transfer_s,
@@ -86,7 +86,7 @@
 
     def aim(self, wanted: WantedVersions, outlook: Outlook) -> int:
         """Give the version with which calls are without one least."""
-        newest = wanted.version(outlook.model)
+        newest = wanted.newest(outlook.model)
         without_s = {
             version: _without_s(wanted, outlook, version, newest)
             for version in _candidates(wanted, outlook, newest)
@@ -114,7 +114,7 @@
     outlook: Outlook,
     newest: int,
 ) -> Iterator[int]:
-    for version, _ in wanted.closing(outlook.model):
+    for version, _ in wanted.cutoffs(outlook.model):
         if outlook.serving < version <= newest:
             yield version
 
@@ -132,7 +132,7 @@
     first = _brought(outlook, version)
     read_s = first.unread * outlook.chunk_origin_s
     here_s = max(read_s, first.lacking * outlook.transfer_s / first.count)
-    ready_s = here_s + SWITCH_S
+    ready_s = here_s + ENGINE_SWITCH_S
     closes_s = _closes_s(wanted, outlook, outlook.serving)
     without_s = max(0, ready_s - closes_s)
     if version == newest:
@@ -143,7 +143,7 @@
         here_s + last.lacking * outlook.transfer_s / last.count,
     )
     closes_s = max(ready_s, _closes_s(wanted, outlook, version))
-    without_s += max(0, last_s + SWITCH_S - closes_s)
+    without_s += max(0, last_s + ENGINE_SWITCH_S - closes_s)
     return without_s + _CHANGE_COSTS_S
 
 
@@ -153,7 +153,7 @@
     version: int,
 ) -> float:
     """Give in how many seconds calls start on a version no more."""
-    closing = [at for one, at in wanted.closing(outlook.model) if one > version]
+    closing = [at for one, at in wanted.cutoffs(outlook.model) if one > version]
     # What was named before this process heard of it has closed already.
     return max(0, min(closing, default=math.inf) - outlook.now)
 
--- a/src/linnetwood/weights/waves.py
+++ b/src/linnetwood/weights/waves.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 
 # The first wave drains from when this part of its chunks is missing: about
 # as long before the end of a transfer as calls take to finish.
@@ -17,7 +17,7 @@
 
 def in_first_wave(me: str, vms: Iterable[str], name: str) -> bool:
     """Tell whether this VM's engine changes in the first wave."""
-    ranked = sorted({*vms, me}, key=lambda vm: place_hash(f'{name}|{vm}'))
+    ranked = sorted({*vms, me}, key=lambda vm: hash64(f'{name}|{vm}'))
     return bool(ranked.index(me) % 2)
 
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -192,7 +192,7 @@
 
     def serving(self) -> int:
         """Count the engines that the last entry would send calls to."""
-        members = self.entries[-1].node.gossip.members.values()
+        members = self.entries[-1].runtime.gossip.members.values()
         return sum(1 for one in members if one.serving)
 
     async def until(self, happened: Callable[[], bool]) -> None:
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -72,7 +72,7 @@
         """A lookup through the system is what the desk itself answers."""
         await rig.entry()
         await rig.booking()
-        await rig.until(lambda: len(rig.entries[0].node.gossip.members) == 2)
+        await rig.until(lambda: len(rig.entries[0].runtime.gossip.members) == 2)
         direct = await rig.client.fetch(
             f'http://127.0.0.1:{rig.service_port}/qso/7?call=SM0ABC',
         )
@@ -93,7 +93,7 @@
         await rig.entry()
         await rig.entry()
         await rig.booking()
-        await rig.until(lambda: len(rig.entries[1].node.gossip.members) == 3)
+        await rig.until(lambda: len(rig.entries[1].runtime.gossip.members) == 3)
         minted = await rig.http('/v1/keys?service=booking', '')
         key = json.loads(minted.body)['keys'][0]
         replies = [
@@ -111,13 +111,13 @@
         """After its endpoint's restart a key is unknown, and never runs."""
         await rig.entry()
         first = await rig.booking()
-        await rig.until(lambda: len(rig.entries[0].node.gossip.members) == 2)
+        await rig.until(lambda: len(rig.entries[0].runtime.gossip.members) == 2)
         minted = await rig.http('/v1/keys?service=booking', '')
         key = json.loads(minted.body)['keys'][0]
         rig.endpoints.remove(first)
         await first.close()
         await rig.booking()
-        await rig.until(lambda: len(rig.entries[0].node.gossip.members) == 3)
+        await rig.until(lambda: len(rig.entries[0].runtime.gossip.members) == 3)
         reply = await rig.http(
             '/services/booking/confirm', 'slot', headers={KEY: key}
         )
@@ -133,7 +133,7 @@
         await rig.apply(1)
         stream = asyncio.create_task(rig.http(GENERATE, body('long', 20)))
         await rig.until(lambda: endpoint.guard.state.in_flight == 1)
-        vm = endpoint.node.gossip.me.vm
+        vm = endpoint.runtime.gossip.own_record.vm
         await rig.operate(lambda calls: calls.drain(vm, 'asha'))
         refused = await rig.http(GENERATE, body('late'))
         self.assertEqual(refused.headers[OUTCOME], 'not-run')
@@ -194,7 +194,7 @@
         await rig.endpoint(
             Backend('service', f'http://127.0.0.1:{port}', 'booking', 8),
         )
-        await rig.until(lambda: len(rig.entries[0].node.gossip.members) == 2)
+        await rig.until(lambda: len(rig.entries[0].runtime.gossip.members) == 2)
         reply = await rig.http('/services/booking/confirm', 'slot')
         found = (reply.headers[OUTCOME], reply.headers[CODE])
         self.assertEqual(found, ('not-run', 'backend-unreachable'))
@@ -231,7 +231,7 @@
         )
         self.assertEqual(answer.code, 'store-unavailable')
         newcomer = await rig.entry()
-        await rig.until(lambda: newcomer.node.config.standing.revision == 1)
+        await rig.until(lambda: newcomer.runtime.config.current.revision == 1)
         await rig.until(lambda: rig.serving() == 1)
         self.assertEqual(newcomer.reason(), '')
         reply = await rig.http(GENERATE, body('hello', 5), number=1)
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -12,7 +12,7 @@
 from linnetwood.calls.choice import Chooser, Need
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.entrycount import UNKNOWN_ENTRIES, EntryCount
-from linnetwood.fleet.members import place_hash
+from linnetwood.fleet.members import hash64
 from tests.test_directory import FIGURES, POOL, report
 
 SIZES = ((7, 6, 3), (40, 23, 3), (98, 60, 5), (98, 102, 5), (410, 600, 10))
@@ -141,7 +141,7 @@
         for number in range(calls):
             me, zone = entries[number % len(entries)]
             need = Need(
-                POOL, zone, 900, 'm', enough_s=0.4, lot=place_hash(str(number))
+                POOL, zone, 900, 'm', enough_s=0.4, lot=hash64(str(number))
             )
             choice = self.chooser(me, zone).choose(need, (), 10)
             assert choice is not None
--- a/tests/test_config_machine.py
+++ b/tests/test_config_machine.py
@@ -10,11 +10,11 @@
 
 from linnetwood.core.options import Gossiping
 from linnetwood.fleet import configuration
-from linnetwood.fleet.changes import Changes
+from linnetwood.fleet.changes import ConfigChanges
 from linnetwood.fleet.configuration import CONFIG_KEY
 from linnetwood.fleet.gossip import GossipTask
 from linnetwood.fleet.membership import Membership
-from linnetwood.fleet.watching import ConfigTask, backoff_s, watchers
+from linnetwood.fleet.watching import ConfigTask, backoff_s, choose_watchers
 from linnetwood.gen.schema.ttypes import Answer, Configuration, Verdict
 from linnetwood.lab import virtual
 from linnetwood.wire.connections import TcpDialler
@@ -59,9 +59,9 @@
         operation = f'op-{self.number}'
         self.store.lose_next = lose
         self.store.lost_write_lands = lands
-        changes = Changes(self.store, FixedClock(), task.adopt)
+        changes = ConfigChanges(self.store, FixedClock(), task.adopt)
         answer: Answer = virtual.run(
-            changes.propose(proposal(task.standing.revision, operation)),
+            changes.propose(proposal(task.current.revision, operation)),
         )
         self.store.lose_next = False
         if answer.verdict == Verdict.ACCEPTED:
@@ -114,8 +114,8 @@
     def never_reverts(self) -> None:
         """No process goes back to a lower revision."""
         for place, task in enumerate(self.tasks):
-            assert task.standing.revision >= self.held[place]
-            self.held[place] = task.standing.revision
+            assert task.current.revision >= self.held[place]
+            self.held[place] = task.current.revision
 
     @invariant()
     def accepted_is_never_lost(self) -> None:
@@ -132,7 +132,7 @@
         """Two processes never mean different things by one revision."""
         texts: dict[int, bytes] = {}
         for task in self.tasks:
-            revision = task.standing.revision
+            revision = task.current.revision
             found = texts.setdefault(revision, task.encoded)
             assert found == task.encoded
 
@@ -155,13 +155,13 @@
         for count in (30, 900):
             members = [member(f'vm-{one}') for one in range(count)]
             with self.subTest(count):
-                self.assertEqual(len(watchers(members, 'r', [])), 2)
+                self.assertEqual(len(choose_watchers(members, 'r', [])), 2)
 
     def test_zone_on_its_own_watches_for_itself(self) -> None:
         """Zones that are not heard from are left out."""
         members = [member(f'vm-{one}', zone='z') for one in range(9)]
         members += [member(f'w-{one}', zone='w') for one in range(9)]
-        chosen = watchers(members, 'r', ['z'])
+        chosen = choose_watchers(members, 'r', ['z'])
         self.assertTrue(all(vm.startswith('w-') for vm in chosen))
 
     def test_return_after_an_outage_is_spread(self) -> None:
@@ -181,7 +181,7 @@
         """An older configuration changes nothing and tells nobody."""
         task = process('a', FakeStore())
         told: list[Configuration] = []
-        task.listen(told.append)
+        task.add_listener(told.append)
         for revision in (2, 1, 2):
             task.adopt(
                 configuration.pack(
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,9 +5,9 @@
 
 from linnetwood.core.errors import ConfigError, StoreAnswerLostError, StoreError
 from linnetwood.fleet import configuration
-from linnetwood.fleet.changes import Changes
+from linnetwood.fleet.changes import ConfigChanges
 from linnetwood.fleet.kvtable import KvTable
-from linnetwood.fleet.store import Stored, Swapped
+from linnetwood.fleet.store import StoredValue, SwapOutcome
 from linnetwood.gen.schema.ttypes import (
     Adapter,
     Configuration,
@@ -45,14 +45,18 @@
         self.lose_next = False
         self.lost_write_lands = True
 
-    async def get(self, key: str) -> Stored:
+    async def get(self, key: str) -> StoredValue:
         """Read a key."""
         if self.down:
             raise StoreError('store-unreachable')
         entry = self.table.get(key, 0)
-        return Stored(entry.version, entry.payload) if entry else Stored(0, b'')
+        return (
+            StoredValue(entry.version, entry.payload)
+            if entry
+            else StoredValue(0, b'')
+        )
 
-    async def swap(self, key: str, payload: bytes, expect: int) -> Swapped:
+    async def swap(self, key: str, payload: bytes, expect: int) -> SwapOutcome:
         """Swap a key, perhaps losing the answer or the write."""
         if self.down:
             raise StoreError('store-unreachable')
@@ -63,9 +67,11 @@
         swap = self.table.swap(key, payload, expect, 0)
         if lose:
             raise StoreAnswerLostError('store-answer-lost')
-        return Swapped(swap.done, swap.version)
+        return SwapOutcome(swap.done, swap.version)
 
-    async def wait(self, key: str, after: int, wait_s: float) -> Stored | None:
+    async def wait(
+        self, key: str, after: int, wait_s: float
+    ) -> StoredValue | None:
         """Never wait."""
         return None
 
@@ -83,7 +89,9 @@
         """Start with an empty service."""
         self.store = FakeStore()
         self.adopted: list[bytes] = []
-        self.changes = Changes(self.store, FixedClock(), self.adopted.append)
+        self.changes = ConfigChanges(
+            self.store, FixedClock(), self.adopted.append
+        )
 
     async def test_accepts_in_order(self) -> None:
         """Each accepted change raises the revision by one."""
@@ -172,7 +180,9 @@
         )
         for deployment, words in cases:
             with self.subTest(words):
-                self.assertIn(words, ' '.join(configuration.faults(deployment)))
+                self.assertIn(
+                    words, ' '.join(configuration.validation_errors(deployment))
+                )
 
     def test_rollout_and_cancel(self) -> None:
         """Cancelling goes back to the version and replicas before."""
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -173,20 +173,20 @@
 
     async def test_named_version_is_served_whole(self) -> None:
         """Every chunk is read once, laid, and taken by one order."""
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
         self.check_taken(2)
         self.assertEqual(len(self.origin.reads), COUNT)
 
     async def test_serving_version_comes_to_an_empty_engine(self) -> None:
         """Nobody named it; others serve it."""
-        self.wanted.serving([('m', 1)])
+        self.wanted.add_serving([('m', 1)])
         await self.until_served(1)
         self.check_taken(1)
 
     async def test_a_step_reckons_once_what_is_here(self) -> None:
         """What the plan was made by is what is fetched by."""
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
         # No other step comes in between.
         assert self.follower._task is not None
@@ -203,7 +203,7 @@
     async def test_spoilt_chunk_is_read_again(self) -> None:
         """What fails its digest is neither kept nor laid."""
         self.origin.spoils = {0, 3}
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
         self.check_taken(2)
 
@@ -212,14 +212,14 @@
     ) -> None:
         """All is read back before the order."""
         self.engine.rots = {1, 5}
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
         self.check_taken(2)
 
     async def test_refused_laying_is_tried_again(self) -> None:
         """An engine that does not answer for a while is served later."""
         self.engine.refuses = 3
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
         self.check_taken(2)
 
@@ -229,14 +229,14 @@
         """After a restart the origin is not read again."""
         self.engine.place = {index: chunk(1, index) for index in range(COUNT)}
         self.engine.place[2] = b'rotten'
-        self.wanted.serving([('m', 1)])
+        self.wanted.add_serving([('m', 1)])
         await self.until_served(1)
         self.check_taken(1)
         self.assertEqual(self.origin.reads, [(1, 2)])
 
     async def test_an_engine_that_starts_again(self) -> None:
         """All is laid and ordered anew for its new life."""
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
         self.engine.start_again()
         await self.until_served(2)
@@ -246,7 +246,7 @@
 
     async def test_an_engine_that_starts_again_at_any_moment(self) -> None:
         """No order counts on what was read back in the life before."""
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         for moment in range(1, 12):
             with self.subTest(moment=moment):
                 self.engine.start_again()
@@ -257,16 +257,16 @@
 
     async def test_newer_version_while_the_older_is_served(self) -> None:
         """Both are taken whole, one after the other."""
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         await self.until_served(2)
-        self.wanted.name('m', 3, 1)
+        self.wanted.add_named('m', 3, 1)
         await self.until_served(3)
         self.check_taken(2, 3)
 
     async def test_origin_that_comes_back(self) -> None:
         """Nothing is lost while it is away."""
         self.origin.away = True
-        self.wanted.name('m', 2, 0)
+        self.wanted.add_named('m', 2, 0)
         for _ in range(10):
             self.follower.report = await self.engine.report()
             self.follower.wake()
@@ -285,12 +285,12 @@
         self.follower.transfer_s = 8
         self.origin.lacks = {3}
         self.origin.spoils = {0}
-        self.wanted.name('m', 2, now)
+        self.wanted.add_named('m', 2, now)
         self.follower.report = await self.engine.report()
         while self.follower.aim is None:
             self.follower.wake()
             await asyncio.sleep(0)
-        self.wanted.name('m', 3, now + 1)
+        self.wanted.add_named('m', 3, now + 1)
         await self.until_served(2)
         self.origin.lacks = set()
         await self.until_served(3)
@@ -301,8 +301,8 @@
         self.engine.serving = 1
         self.follower.report = await self.engine.report()
         now = SystemClock().now()
-        self.wanted.name('m', 2, now)
-        self.wanted.name('m', 3, now)
+        self.wanted.add_named('m', 2, now)
+        self.wanted.add_named('m', 3, now)
         await self.until_served(3)
         self.check_taken(3)
 
@@ -319,8 +319,8 @@
         self.engine.serving = 1
         self.follower.report = await self.engine.report()
         now = SystemClock().now()
-        self.wanted.name('m', 2, now)
-        self.wanted.name('m', 3, now)
+        self.wanted.add_named('m', 2, now)
+        self.wanted.add_named('m', 3, now)
         async with asyncio.timeout(60):
             while (3, 0) not in self.origin.reads:
                 self.follower.wake()
--- a/tests/test_junk.py
+++ b/tests/test_junk.py
@@ -31,7 +31,6 @@
 from linnetwood.platform.weights import PlatformOrigin, ServerEngine
 from linnetwood.wire.curldriver import CurlDriver
 from tests.test_curldriver import HOST, ScriptedServer
-
 from tests.test_records import CONFIG
 
 ENTRY: dict[str, Any] = {
@@ -203,7 +202,7 @@
         fed.change(key, payload)
         self.assertIn('b', fed.names())
         self.assertEqual(fed.book.version, CONFIG['version'])
-        self.assertEqual(fed.wanted.version('m-1'), 2)
+        self.assertEqual(fed.wanted.newest('m-1'), 2)
 
     @settings(max_examples=300)
     @given(strategies.data())
--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -2,8 +2,11 @@
 
 import unittest
 
-from linnetwood.fleet.listeners import Greeting, Listeners
 from linnetwood.fleet.news import Address
+from linnetwood.fleet.reportsubscribers import (
+    ReportSubscribers,
+    ReportSubscription,
+)
 
 NEAR = ('10.0.0.1', 7700)
 FAR = ('10.0.0.2', 7700)
@@ -14,7 +17,7 @@
 
     def test_newcomers(self) -> None:
         """An entry is new for a while, and again after it started anew."""
-        found = Listeners(0)
+        found = ReportSubscribers(0)
         cases: tuple[tuple[str, Address, int, float, list[Address]], ...] = (
             ('first greeting', NEAR, 1, 0.0, [NEAR]),
             ('a second later', NEAR, 2, 1.0, [NEAR]),
@@ -24,14 +27,14 @@
         )
         for name, address, number, now, expected in cases:
             with self.subTest(name=name):
-                found.heard(address, Greeting(number), now)
-                self.assertCountEqual(found.newcomers(now), expected)
+                found.subscribe(address, ReportSubscription(number), now)
+                self.assertCountEqual(found.new_subscribers(now), expected)
 
     def test_gone(self) -> None:
         """Four greetings missed, and an entry is told no more."""
-        found = Listeners(0)
-        found.heard(NEAR, Greeting(1), 0)
-        found.heard(FAR, Greeting(1), 3)
+        found = ReportSubscribers(0)
+        found.subscribe(NEAR, ReportSubscription(1), 0)
+        found.subscribe(FAR, ReportSubscription(1), 3)
         found.expire(3.9)
         self.assertCountEqual(found.addresses(), [NEAR, FAR])
         found.expire(4.1)
@@ -39,7 +42,7 @@
 
     def test_told_all_the_while(self) -> None:
         """The time counts from the last gap between all greetings."""
-        found = Listeners(0)
+        found = ReportSubscribers(0)
         cases = (
             ('first', NEAR, 1, 1.0, 1.0),
             ('steady', NEAR, 2, 2.0, 2.0),
@@ -49,8 +52,8 @@
         )
         for name, address, number, now, expected in cases:
             with self.subTest(name=name):
-                found.heard(address, Greeting(number), now)
-                self.assertEqual(found.told_for_s(now), expected)
+                found.subscribe(address, ReportSubscription(number), now)
+                self.assertEqual(found.unbroken_for_s(now), expected)
 
 
 if __name__ == '__main__':
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from linnetwood.core.options import Gossiping
-from linnetwood.fleet.members import Health, copy, newer
+from linnetwood.fleet.members import Health, copy, supersedes
 from linnetwood.fleet.membership import Membership, View
 from linnetwood.gen.wire.ttypes import Member
 
@@ -44,7 +44,7 @@
         self.nodes = {vm: Membership(member(vm), CFG, 0) for vm in names}
         for node in self.nodes.values():
             for vm in names:
-                node.hear(member(vm), 0)
+                node.receive(member(vm), 0)
         self.paused: set[str] = set()
 
     def step(self) -> None:
@@ -57,9 +57,9 @@
         """Let one process do what is due."""
         verdicts = list(node.tick(self.now))
         if round(self.now * 10) % 3 == 0:
-            for other in node.duties(self.now).beat_to:
+            for other in node.ring_neighbours(self.now).heartbeat_to:
                 self.deliver(vm, other)
-        for silent in node.silent(self.now):
+        for silent in node.silent_members(self.now):
             if silent.vm not in self.paused:
                 self.deliver(silent.vm, vm)
         for verdict in verdicts:
@@ -68,14 +68,14 @@
     def deliver(self, sender: str, target: str) -> None:
         """Bring one sign of life, if it is not lost."""
         if target in self.nodes and self.rng.random() >= self.loss:
-            self.nodes[target].beat(sender, self.now)
+            self.nodes[target].heartbeat_received(sender, self.now)
 
     def spread(self, statement: Member) -> None:
         """Bring a statement to everybody, and what they answer."""
         for vm, node in self.nodes.items():
             if vm in self.paused:
                 continue
-            answer = node.hear(statement, self.now)
+            answer = node.receive(statement, self.now)
             if answer is not None and answer.vm == vm:
                 self.spread(answer)
 
@@ -128,14 +128,14 @@
     def test_paused_watcher_blames_nobody(self) -> None:
         """A process that was itself away does not take others for dead."""
         node = Membership(member('a'), CFG, 0)
-        node.hear(member('b'), 0)
-        node.duties(0)
+        node.receive(member('b'), 0)
+        node.ring_neighbours(0)
         self.assertEqual(list(node.tick(30)), [])
 
     def test_suspicion_comes_before_death(self) -> None:
         """The statements about a silent process grow worse in order."""
         node = Membership(member('a'), CFG, 0)
-        node.hear(member('b'), 0)
+        node.receive(member('b'), 0)
         statuses = [
             one.status for tick in range(1, 40) for one in node.tick(tick / 10)
         ]
@@ -144,14 +144,14 @@
     def test_suspected_process_answers(self) -> None:
         """A process that hears it is suspected says otherwise, louder."""
         node = Membership(member('a'), CFG, 0)
-        answer = node.hear(member('a', status=int(Health.SUSPECT)), 0)
+        answer = node.receive(member('a', status=int(Health.SUSPECT)), 0)
         assert answer is not None
         self.assertEqual((answer.version, answer.status), (2, Health.ALIVE))
 
     def test_dead_is_raised_only_by_a_newer_statement(self) -> None:
         """A late statement does not raise the dead; a restart does."""
         view = View(member('a'))
-        view.adopt(member('b', status=int(Health.DEAD)))
+        view.update(member('b', status=int(Health.DEAD)))
         cases = (
             (member('b'), False),
             (member('b', version=2), True),
@@ -160,7 +160,7 @@
         for statement, expected in cases:
             with self.subTest(statement.version):
                 dead = member('b', status=int(Health.DEAD))
-                self.assertEqual(newer(statement, dead), expected)
+                self.assertEqual(supersedes(statement, dead), expected)
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.permutations(range(8)), st.integers(0, 7))
@@ -173,9 +173,9 @@
         first = View(member('me'))
         second = View(member('me'))
         for number in range(8):
-            first.adopt(statements[number])
+            first.update(statements[number])
         for number in (*order, *order[:cut]):
-            second.adopt(statements[number])
+            second.update(statements[number])
         self.assertEqual(first.buckets, second.buckets)
 
     def test_differing_buckets_only(self) -> None:
@@ -183,10 +183,10 @@
         first = View(member('me'))
         second = View(member('me'))
         for number in range(100):
-            first.adopt(member(f'vm-{number}'))
+            first.update(member(f'vm-{number}'))
             if number != 7:
-                second.adopt(member(f'vm-{number}'))
-        differing = [one.vm for one in first.differing(second.buckets)]
+                second.update(member(f'vm-{number}'))
+        differing = [one.vm for one in first.differing_records(second.buckets)]
         self.assertIn('vm-7', differing)
         self.assertLess(len(differing), 10)
 
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -23,7 +23,7 @@
 from linnetwood.core.outcomes import Ending, Outcome
 from linnetwood.fleet.tellers import Tellers
 from linnetwood.fleet.wanted import (
-    MARGIN_S,
+    SEND_MARGIN_S,
     START_MARGIN_S,
     WantedVersions,
 )
@@ -226,7 +226,7 @@
     def named(self, left_s: float) -> float:
         """Name a newer version, so long before its bound; give the bound."""
         bound = self.loop.time() + left_s
-        self.wanted.name(MODEL, 2, bound - BOUND_S)
+        self.wanted.add_named(MODEL, 2, bound - BOUND_S)
         return bound
 
     def tell(self, way_s: float) -> None:
@@ -236,7 +236,7 @@
             serving=1,
             way_ms=int(way_s * 1000),
         )
-        self.reports.heard(News(engine=news), (HOST, 0))
+        self.reports.handle_news(News(engine=news), (HOST, 0))
 
     async def passed(self, moment: float) -> None:
         """Wait until a moment has passed."""
@@ -246,7 +246,7 @@
 
     async def test_open_way(self) -> None:
         """A call begins on the old version while there is time for it."""
-        self.named(2 * MARGIN_S)
+        self.named(2 * SEND_MARGIN_S)
         ending = await self.call()
         self.assertEqual(ending.outcome, Outcome.ANSWERED)
         self.assertEqual(len(self.engine.requests), 1)
@@ -259,13 +259,13 @@
         """
         self.way.open.clear()
         earlier = asyncio.create_task(self.call())
-        await asyncio.sleep(MARGIN_S)
+        await asyncio.sleep(SEND_MARGIN_S)
         self.way.open.set()
         await earlier
         self.assertEqual(len(self.engine.requests), 1)
-        self.tell(way_s=MARGIN_S)
+        self.tell(way_s=SEND_MARGIN_S)
         self.way.open.clear()
-        bound = self.named(MARGIN_S + 0.2)
+        bound = self.named(SEND_MARGIN_S + 0.2)
         ending = await self.call()
         await self.passed(bound)
         self.way.open.set()
@@ -278,7 +278,7 @@
         way_s = 0.7
         self.tell(way_s)
         self.way.open.clear()
-        bound = self.named(2 * MARGIN_S)
+        bound = self.named(2 * SEND_MARGIN_S)
         await self.call()
         left_s = bound - self.loop.time()
         self.way.open.set()
@@ -310,7 +310,7 @@
         for way_s in (0, 0.5, 1, 1.5):
             slow_s = max(0, way_s - USUAL_WAY_S)
             # A call that would be taken back a moment too soon, and one not.
-            late_s = MARGIN_S + 2 * slow_s
+            late_s = SEND_MARGIN_S + 2 * slow_s
             for left_s, sent in (
                 (late_s - CLOSE_S, False),
                 (late_s + CLOSE_S, True),
@@ -332,7 +332,7 @@
         Report(0, 0, 1, changing=False, heard_at=loop.time(), way_s=way_s),
     )
     wanted = WantedVersions(BOUND_S)
-    wanted.name(MODEL, 2, loop.time() + left_s - BOUND_S)
+    wanted.add_named(MODEL, 2, loop.time() + left_s - BOUND_S)
     driver = Noting()
     dispatcher = DirectDispatcher(
         chooser,
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -5,7 +5,7 @@
 
 from linnetwood.fleet.members import Health, copy
 from linnetwood.fleet.neighbours import neighbours, partners
-from linnetwood.fleet.placement import assign, with_the_dead
+from linnetwood.fleet.placement import assign_intents, assigned_with_failed
 from linnetwood.gen.schema.ttypes import Deployment, Intent
 from tests.test_membership import member
 
@@ -56,11 +56,11 @@
             for one in living
         ]
         rings = [
-            sorted(with_the_dead(deployment, members, intent))
+            sorted(assigned_with_failed(deployment, members, intent))
             for members in (living, fallen)
         ]
         self.assertEqual(rings[0], rings[1])
-        self.assertEqual(len(assign(deployment, fallen)), 19)
+        self.assertEqual(len(assign_intents(deployment, fallen)), 19)
 
 
 class PartnersTest(unittest.TestCase):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -20,7 +20,7 @@
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import ANSWERED, Code, Ending
 from linnetwood.fleet.members import ENDPOINT, Health
-from linnetwood.fleet.placement import ENGINE_KIND, label
+from linnetwood.fleet.placement import ENGINE_KIND, version_label
 from linnetwood.gen.schema.ttypes import (
     Deployment,
     Intent,
@@ -35,7 +35,7 @@
 from linnetwood.wire.frames import FrameKind, FrameStream
 
 MODEL = 'm'
-SERVING = label(MODEL, 'v')
+SERVING = version_label(MODEL, 'v')
 SMALL = 'small'
 LARGE = 'large'
 SHARES = ((LARGE, 8), (SMALL, 2))
--- a/tests/test_passed_notices.py
+++ b/tests/test_passed_notices.py
@@ -6,7 +6,7 @@
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.reports import Reports
 from linnetwood.fleet.lastsaid import LastSaid
-from linnetwood.fleet.news import Reader
+from linnetwood.fleet.news import NewsHandler
 from linnetwood.gen.wire.ttypes import EngineSaid
 from linnetwood.weights.engine import EngineReport
 from tests.test_talk import MODEL, PORT, TICK_S, Clock, Fleet
@@ -36,7 +36,7 @@
         self.clock = clock
         self.entries = [self.fleet.entry(number) for number in range(2)]
         self.endpoint = self.fleet.endpoint(0)
-        self.endpoint.talk._peers.known = True
+        self.endpoint.talk._peers.is_known = True
         self.born = 0
         self.one = next(self.fleet.directory.all())
         self.greets = True
@@ -57,11 +57,13 @@
         """Bring what was sent to whoever it is for."""
         wire = self.fleet.wire
         talk = self.endpoint.talk
-        hosts: dict[str, Reader] = dict(zip(self.fleet.entries, self.entries))
+        hosts: dict[str, NewsHandler] = dict(
+            zip(self.fleet.entries, self.entries)
+        )
         for host, came in list(wire.last.items()):
             hearer = hosts.get(host, talk)
             for source, news in came:
-                hearer.heard(news, (source, PORT))
+                hearer.handle_news(news, (source, PORT))
             came.clear()
 
     def tick(self) -> None:
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -22,7 +22,10 @@
 from linnetwood.calls.standing import Report, Standing
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Outcome
-from linnetwood.fleet.listeners import Greeting, Listeners
+from linnetwood.fleet.reportsubscribers import (
+    ReportSubscribers,
+    ReportSubscription,
+)
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.platform.dialect import PlatformDialect
 from linnetwood.wire.curldriver import CurlDriver
@@ -210,7 +213,7 @@
         self.one = Listed('e0', 'pool', 'e0', 80, 'z0', 8, ready=True)
         self.times: list[float] = []
         self.rng = Random(entries)
-        self.listeners = Listeners(-2.0)
+        self.listeners = ReportSubscribers(-2.0)
         self.entries = [
             Entry(f'a{one}', f'z{one % zones}', self) for one in range(entries)
         ]
@@ -234,10 +237,10 @@
             if entry.stands_for and entry.in_reach
         ]
         for number, entry in hearing:
-            greeting = Greeting(
+            greeting = ReportSubscription(
                 int(self.now * 10) + 99, entry.zone, 0.1, entry.stands_for
             )
-            self.listeners.heard((f'a{number}', 1), greeting, self.now)
+            self.listeners.subscribe((f'a{number}', 1), greeting, self.now)
         self.listeners.expire(self.now)
         reports = {near: self.report(near=near) for near in (True, False)}
         for _, entry in hearing:
@@ -245,7 +248,7 @@
 
     def report(self, *, near: bool) -> Report:
         """Give what the process tells entries of its zone, or the others."""
-        part = self.listeners.part('z0', self.now, near=near)
+        part = self.listeners.quota_share('z0', self.now, near=near)
         notice = Notice(self.limit, complete=True)
         report = Report(0, 1, 1, changing=False, heard_at=self.now)
         return dataclasses.replace(report, notice=notice, part=part)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -185,7 +185,7 @@
     task = process('a', FakeStore())
     await task._fetch(server.sockets[0].getsockname())
     server.close()
-    return 'peer', 2, task.standing.revision
+    return 'peer', 2, task.current.revision
 
 
 FOLLOWERS = 13
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -118,11 +118,11 @@
     def test_a_version(self) -> None:
         """Its bound passes meanwhile: calls start on no older one."""
         wanted = WantedVersions(SUSPENDED_S)
-        wanted.serving([('m', 1)])
-        wanted.name('m', 2, self.clock.now())
-        self.assertEqual(wanted.least('m', self.clock.now()), 0)
+        wanted.add_serving([('m', 1)])
+        wanted.add_named('m', 2, self.clock.now())
+        self.assertEqual(wanted.oldest_allowed('m', self.clock.now()), 0)
         self.loop.suspend(SUSPENDED_S)
-        self.assertEqual(wanted.least('m', self.clock.now()), 2)
+        self.assertEqual(wanted.oldest_allowed('m', self.clock.now()), 2)
 
     def test_an_evacuation(self) -> None:
         """Endpoints that were back, and may be cold, have been told by now."""
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -14,9 +14,9 @@
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.reports import Reports
 from linnetwood.calls.routebook import RouteBook
-from linnetwood.fleet.listeners import Listeners
-from linnetwood.fleet.news import Address, NewsPort
-from linnetwood.fleet.peerlist import PeerFollower
+from linnetwood.fleet.news import Address, NewsSocket
+from linnetwood.fleet.peerlist import PeerListClient
+from linnetwood.fleet.reportsubscribers import ReportSubscribers
 from linnetwood.fleet.tellers import Tellers
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import EngineSaid, News
@@ -70,7 +70,7 @@
         self.last: dict[str, list[tuple[str, News]]] = defaultdict(list)
 
 
-class Port(NewsPort):
+class Port(NewsSocket):
     """Stand in for the socket of one process."""
 
     def __init__(self, host: str, wire: Wire, share: float) -> None:
@@ -99,14 +99,14 @@
     return f'10.2.{number // 250}.{number % 250}'
 
 
-class Asked(PeerFollower):
+class Asked(PeerListClient):
     """Note which entries would be asked for the list of peers."""
 
     def __init__(self, asked: list[str]) -> None:
         super().__init__(TcpDialler(), lambda places: None)
         self._asked_of = asked
 
-    def greeted(self, told: int, revision: int, entry: Address) -> None:
+    def digest_received(self, told: int, revision: int, entry: Address) -> None:
         """Note one."""
         self._asked_of.append(entry[0])
 
@@ -188,7 +188,7 @@
         )
         talk = endpoint.talk
         talk._clock = self.clock
-        talk._listeners = Listeners(self.clock.now())
+        talk._listeners = ReportSubscribers(self.clock.now())
         talk._rng = Random(number)
         talk._news = Port(host, self.wire, 1 / SECONDS)
         return endpoint
@@ -200,7 +200,7 @@
         assert isinstance(clock, Clock)
         endpoint = self.endpoint(number)
         talk = endpoint.talk
-        talk._peers.known = True
+        talk._peers.is_known = True
         talk._learned(
             {one: self.zone(each) for each, one in enumerate(self.engines)},
         )
@@ -208,20 +208,20 @@
             3, 8, 41000, 90000, {MODEL: 1}, changing=False, orders_taken=2
         )
         for source, news in list(self.wire.last[host]):
-            talk.heard(news, (source, PORT))
+            talk.handle_news(news, (source, PORT))
         if self.all_say:
             # The most that can be said, of a life with a long name.
             listed = self.directory.at_host(host)
             assert listed is not None
             mark = listed.life_mark
             said = EngineSaid(mark, 999999999999, leaving=True)
-            talk.heard(News(said=said), (self.entries[0], PORT))
+            talk.handle_news(News(said=said), (self.entries[0], PORT))
         for _ in range(round(SECONDS / TICK_S)):
             clock.seconds += TICK_S
             for source, news in list(self.wire.last[host])[: len(self.entries)]:
                 # Greetings go on; they are counted once.
                 if news.entry is not None:
-                    talk.heard(news, (source, PORT))
+                    talk.handle_news(news, (source, PORT))
             talk.tell()
         endpoint.driver.close()
 
@@ -241,7 +241,7 @@
         running = asyncio.create_task(reports._run())
         for number in range(200):
             if names:
-                reports._wanted.name(MODEL, number + 2, 0)
+                reports._wanted.add_named(MODEL, number + 2, 0)
             reports.wake()
             await asyncio.sleep(0.01)
         running.cancel()
@@ -295,7 +295,7 @@
         far = [one for one in told if one[1].entry.zone != fleet.zone(0)]
         near = [one for one in told if one[1].entry.zone == fleet.zone(0)]
         for source, news in (far[0], near[0], far[1], near[1]):
-            endpoint.talk.heard(news, (source, PORT))
+            endpoint.talk.handle_news(news, (source, PORT))
         endpoint.driver.close()
         self.assertEqual(asked, [far[0][0], near[0][0], near[1][0]])
 
--- a/tests/test_traffic.py
+++ b/tests/test_traffic.py
@@ -8,7 +8,7 @@
 import unittest
 
 from linnetwood.core.events import Event
-from linnetwood.fleet.talk import HEADER_BYTES, Talk
+from linnetwood.fleet.trafficcounters import HEADER_BYTES, TrafficCounters
 from linnetwood.gen.wire.ttypes import EngineNews, News
 from linnetwood.programs import cli
 
@@ -49,14 +49,14 @@
 
     def test_counts(self) -> None:
         """Bytes hold headers, and a message to many counts as many."""
-        talk = Talk()
+        talk = TrafficCounters()
         news = News(engine=EngineNews(number=1))
-        talk.sent(news, 10, 3)
-        talk.sent(news, 20, 1)
-        talk.received(None, 5)
+        talk.count_sent(news, 10, 3)
+        talk.count_sent(news, 20, 1)
+        talk.count_received(None, 5)
         found = {
-            (direction, kind): (flow.datagrams, flow.octets)
-            for direction, kind, flow in talk.take()
+            (direction, kind): (flow.datagrams, flow.byte_count)
+            for direction, kind, flow in talk.take_counts()
         }
         self.assertEqual(
             found,
@@ -65,7 +65,7 @@
                 ('received', 'unknown'): (1, 5 + HEADER_BYTES),
             },
         )
-        self.assertEqual(list(talk.take()), [])
+        self.assertEqual(list(talk.take_counts()), [])
 
 
 class TrafficTest(unittest.TestCase):
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -12,7 +12,7 @@
 from linnetwood.core.errors import LinnetwoodError, SettingsError
 from linnetwood.core.options import Trust
 from linnetwood.core.trust import KeyedSeal, Keys
-from linnetwood.fleet.node import reload_keys
+from linnetwood.fleet.runtime import reload_keys
 from linnetwood.gen.schema.ttypes import Deployment, Refusal, Verdict
 from linnetwood.programs import cli, exits
 from tests.rig import Rig, running
@@ -174,10 +174,10 @@
         stranger = await rig.booking()
         rig.trust = trust()
         friend = await rig.booking()
-        name = friend.node.gossip.me.vm
-        await rig.until(lambda: name in entry.node.gossip.members)
-        known = set(entry.node.gossip.members)
-        self.assertNotIn(stranger.node.gossip.me.vm, known)
+        name = friend.runtime.gossip.own_record.vm
+        await rig.until(lambda: name in entry.runtime.gossip.members)
+        known = set(entry.runtime.gossip.members)
+        self.assertNotIn(stranger.runtime.gossip.own_record.vm, known)
 
     async def test_command_line_names_a_bad_folder(self) -> None:
         """A folder without certificates is bad input."""
--- a/tests/test_versionplan.py
+++ b/tests/test_versionplan.py
@@ -10,7 +10,7 @@
 
 import unittest
 
-from linnetwood.fleet.wanted import MARGIN_S, WantedVersions
+from linnetwood.fleet.wanted import SEND_MARGIN_S, WantedVersions
 from linnetwood.lab.transfers import Fleet, Outcome, Place, Ways
 from linnetwood.weights.takeover import TAKEOVERS
 from linnetwood.weights.versionplan import (
@@ -33,9 +33,9 @@
 def named(*since: float) -> WantedVersions:
     """Name versions from the second on at these times."""
     wanted = WantedVersions(BOUND_S)
-    wanted.serving([('m', 1)])
+    wanted.add_serving([('m', 1)])
     for version, at in enumerate(since, start=2):
-        wanted.name('m', version, at)
+        wanted.add_named('m', version, at)
     return wanted
 
 
@@ -105,7 +105,7 @@
     def test_the_older_is_hopeless(self) -> None:
         """It could only serve when calls may start on it no more."""
         wanted = named(0, 4)
-        late = 4 + BOUND_S - MARGIN_S - 3
+        late = 4 + BOUND_S - SEND_MARGIN_S - 3
         seen = outlook(late, Brought(COUNT, 40, 40), ALL, aim=2)
         self.assertEqual(self.aim(wanted, seen), 3)
         seen = outlook(late, Brought(COUNT, 0, 0), ALL, aim=2)
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -5,7 +5,7 @@
 from linnetwood.core.options import Gossiping
 from linnetwood.fleet.members import Health, copy
 from linnetwood.fleet.membership import Membership
-from linnetwood.fleet.vmlist import told_to_leave
+from linnetwood.fleet.vmlist import leaving_records
 from tests.test_membership import member
 
 
@@ -20,14 +20,14 @@
             'c': member('c', status=int(Health.LEAVING)),
         }
         listed = frozenset(('a', 'b', 'c', 'd'))
-        told = [one.vm for one in told_to_leave(known, listed)]
+        told = [one.vm for one in leaving_records(known, listed)]
         self.assertEqual(told, ['a'])
 
     def test_told_process_says_that_it_leaves(self) -> None:
         """A process told to leave says so itself, in a newer statement."""
         node = Membership(member('a'), Gossiping(), 0)
-        order = copy(node.me, status=int(Health.LEAVING))
-        answer = node.hear(order, 0)
+        order = copy(node.own_record, status=int(Health.LEAVING))
+        answer = node.receive(order, 0)
         assert answer is not None
         self.assertEqual((answer.status, answer.version), (Health.LEAVING, 2))
 
@@ -35,8 +35,8 @@
         """What was said of an earlier incarnation changes nothing."""
         node = Membership(member('a', incarnation=2), Gossiping(), 0)
         old = member('a', status=int(Health.LEAVING))
-        self.assertIsNone(node.hear(old, 0))
-        self.assertEqual(node.me.status, Health.ALIVE)
+        self.assertIsNone(node.receive(old, 0))
+        self.assertEqual(node.own_record.status, Health.ALIVE)
 
 
 if __name__ == '__main__':
--- a/tests/test_wanted.py
+++ b/tests/test_wanted.py
@@ -3,8 +3,8 @@
 import unittest
 
 from linnetwood.fleet.wanted import (
-    MARGIN_S,
     NOT_NAMED,
+    SEND_MARGIN_S,
     START_MARGIN_S,
     WantedVersions,
 )
@@ -18,7 +18,7 @@
     """Give versions of one model, named at times."""
     wanted = WantedVersions(BOUND_S)
     for version, since in rows:
-        wanted.name('m', version, since)
+        wanted.add_named('m', version, since)
     return wanted
 
 
@@ -28,7 +28,7 @@
     def test_each_version_has_its_own_bound(self) -> None:
         """A newer version does not put off the bound of an older one."""
         wanted = named((2, 18.0), (3, 20.0))
-        due = 18.0 + BOUND_S - MARGIN_S
+        due = 18.0 + BOUND_S - SEND_MARGIN_S
         cases = (
             (due - 0.1, 0),
             (due, 2),
@@ -37,8 +37,8 @@
         )
         for now, expected in cases:
             with self.subTest(now=now):
-                self.assertEqual(wanted.least('m', now), expected)
-        self.assertEqual(wanted.least('other', 99), 0)
+                self.assertEqual(wanted.oldest_allowed('m', now), expected)
+        self.assertEqual(wanted.oldest_allowed('other', 99), 0)
 
     def test_a_guess_gives_way_to_what_others_saw(self) -> None:
         """An entry that came late must not shorten anybody's bound."""
@@ -53,26 +53,26 @@
             with self.subTest(name=name):
                 wanted = WantedVersions(BOUND_S)
                 for since, guessed in told:
-                    wanted.name('m', 2, since, guessed=guessed)
+                    wanted.add_named('m', 2, since, guessed=guessed)
                 cutoff = wanted.cutoff('m', 2)
-                self.assertEqual(cutoff, expected + BOUND_S - MARGIN_S)
+                self.assertEqual(cutoff, expected + BOUND_S - SEND_MARGIN_S)
 
     def test_a_guess_is_told_as_one(self) -> None:
         """Whoever hears it keeps what was seen."""
         late = WantedVersions(BOUND_S)
-        late.name('m', 2, 15.0, guessed=True)
+        late.add_named('m', 2, 15.0, guessed=True)
         there = named((2, 18.0))
-        there.heard(late.told('s', ['m'], 20.0), 20.0)
-        late.heard(there.told('', ['m'], 20.0), 20.0)
-        cutoff = 18.0 + BOUND_S - MARGIN_S
+        there.apply_messages(late.to_messages('s', ['m'], 20.0), 20.0)
+        late.apply_messages(there.to_messages('', ['m'], 20.0), 20.0)
+        cutoff = 18.0 + BOUND_S - SEND_MARGIN_S
         self.assertEqual(there.cutoff('m', 2), cutoff)
         self.assertEqual(late.cutoff('m', 2), cutoff)
 
     def test_a_guess_of_what_nobody_saw_before_is_news(self) -> None:
         """Told by entries all along, a process knows that it is new."""
         late = WantedVersions(BOUND_S)
-        late.name('m', 2, 26.0 - BOUND_S / 2, guessed=True)
-        told = late.told('s', ['m'], 26.0)
+        late.add_named('m', 2, 26.0 - BOUND_S / 2, guessed=True)
+        told = late.to_messages('s', ['m'], 26.0)
         cases = (
             ('new to a steady one', named(), True, 25.0),
             ('new to one that just came', named(), False, 22.0),
@@ -80,9 +80,9 @@
         )
         for name, there, steady, expected in cases:
             with self.subTest(name=name):
-                there.heard(told, 26.0, steady=steady)
+                there.apply_messages(told, 26.0, steady=steady)
                 cutoff = there.cutoff('m', 2)
-                self.assertEqual(cutoff, expected + BOUND_S - MARGIN_S)
+                self.assertEqual(cutoff, expected + BOUND_S - SEND_MARGIN_S)
 
     def test_a_call_begins_before_the_first_newer_bound(self) -> None:
         """What waits at an old version is taken back in time."""
@@ -91,7 +91,7 @@
         for version, since in cases:
             with self.subTest(version=version):
                 self.assertEqual(
-                    wanted.start_by('m', version),
+                    wanted.start_deadline('m', version),
                     since + BOUND_S - START_MARGIN_S,
                 )
 
@@ -103,10 +103,10 @@
         last_sent = next(
             step / 100
             for step in range(1800, 2600)
-            if wanted.least('m', step / 100)
+            if wanted.oldest_allowed('m', step / 100)
         )
         self.assertLess(last_sent + on_the_way_s, bound)
-        taken_back = wanted.start_by('m', 1)
+        taken_back = wanted.start_deadline('m', 1)
         self.assertLess(taken_back + on_the_way_s / 2, bound)
 
     def test_older_version_first_where_the_newer_comes_late(self) -> None:
@@ -121,35 +121,35 @@
         for name, old, new, serving, transfer_s, now, expected in cases:
             with self.subTest(name=name):
                 wanted = named(old, new)
-                aim = wanted.aim('m', serving, transfer_s, now)
+                aim = wanted.next_target('m', serving, transfer_s, now)
                 self.assertEqual(aim, expected)
 
     def test_serving_version_goes_to_empty_engines(self) -> None:
         """A version that serves and was never named is wanted too."""
         wanted = WantedVersions(BOUND_S)
-        wanted.serving([('m', 1)])
-        self.assertEqual(wanted.aim('m', 0, TRANSFER_S, 5.0), 1)
-        self.assertEqual(wanted.least('m', 100.0), 0)
+        wanted.add_serving([('m', 1)])
+        self.assertEqual(wanted.next_target('m', 0, TRANSFER_S, 5.0), 1)
+        self.assertEqual(wanted.oldest_allowed('m', 100.0), 0)
 
     def test_what_is_told_is_learned(self) -> None:
         """Another process knows the same versions and bounds."""
         wanted = named((2, 18.0), (3, 20.0))
-        wanted.serving([('m', 1)])
-        rows = wanted.told('pool', ['m'], 21.0)
+        wanted.add_serving([('m', 1)])
+        rows = wanted.to_messages('pool', ['m'], 21.0)
         self.assertEqual(
             [(row.version, row.age_ms) for row in rows],
             [(1, NOT_NAMED), (2, 3000), (3, 1000)],
         )
         other = WantedVersions(BOUND_S)
-        other.heard(rows, 121.0)
-        self.assertEqual(other.least('m', 118.0 + BOUND_S), 2)
-        self.assertEqual(other.version('m'), 3)
+        other.apply_messages(rows, 121.0)
+        self.assertEqual(other.oldest_allowed('m', 118.0 + BOUND_S), 2)
+        self.assertEqual(other.newest('m'), 3)
 
     def test_earliest_word_of_a_version_counts(self) -> None:
         """A process that came later learns the true age from others."""
         wanted = named((2, 30.0))
-        wanted.heard([WantedWeights('pool', 'm', 2, 5000)], 31.0)
-        self.assertEqual(wanted.least('m', 26.0 + BOUND_S), 2)
+        wanted.apply_messages([WantedWeights('pool', 'm', 2, 5000)], 31.0)
+        self.assertEqual(wanted.oldest_allowed('m', 26.0 + BOUND_S), 2)
 
 
 if __name__ == '__main__':
