--- a/src/linnetwood/calls/attempt.py
+++ b/src/linnetwood/calls/attempt.py
@@ -17,20 +17,20 @@
 )
 from linnetwood.wire.eventstream import EventCutter
 
-MOST_ANSWER_BYTES = 16777216
+MAX_ANSWER_BYTES = 16777216
 _OK_BELOW = 300
 
 
-class Caller(Protocol):
+class AnswerSink(Protocol):
     """Write an answer to a caller."""
 
     def begin(self, status: int, headers: Headers) -> None:
         """Write the head of an answer that comes in pieces."""
 
-    def piece(self, piece: bytes) -> None:
+    def send_piece(self, piece: bytes) -> None:
         """Write a piece."""
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a whole answer."""
 
     def finish(self) -> None:
@@ -40,15 +40,15 @@
         """Close without an end, so that the answer can't look whole."""
 
 
-def _nothing() -> None:
+def _ignore_start() -> None:
     """Tell nobody."""
 
 
-def _unnoticed(notice: Notice) -> None:
+def _ignore_notice(notice: Notice) -> None:
     """Tell nobody."""
 
 
-class How(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """Say how an attempt ended."""
 
     ANSWERED = 'answered'
@@ -57,14 +57,14 @@
     LOST = 'lost'
     STALLED = 'stalled'
     TIMED_OUT = 'timed-out'
-    TAKEN_BACK = 'taken-back'
+    WITHDRAWN = 'taken-back'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AttemptEnd:
+class AttemptResult:
     """How an attempt ended, and a failure that could be passed on."""
 
-    how: How
+    outcome: AttemptOutcome
     reached: bool
     detail: str = ''
     status: int = 0
@@ -73,26 +73,26 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bounds:
+class AttemptLimits:
     """Until when an attempt may last, and how long it may be silent.
 
     Times of the loop's clock; seconds before the first event and the next.
     """
 
-    until: float
+    deadline: float
     start_by: float
-    first_s: float
-    next_s: float
+    first_event_s: float
+    next_event_s: float
 
 
-class Relay:
+class AnswerStream:
     """What has gone out to the caller, over all attempts of a call."""
 
-    __slots__ = ('begun', 'caller', 'cutter', 'version')
+    __slots__ = ('begun', 'cutter', 'sink', 'version')
 
-    def __init__(self, caller: Caller, resume_after: str) -> None:
+    def __init__(self, sink: AnswerSink, resume_after: str) -> None:
         """Begin before the first byte."""
-        self.caller = caller
+        self.sink = sink
         self.begun = False
         self.version = 0
         self.cutter = EventCutter()
@@ -104,7 +104,7 @@
 
     def __init__(
         self,
-        relay: Relay,
+        answer: AnswerStream,
         dialect: Dialect,
         call_id: str,
         *,
@@ -112,40 +112,40 @@
         clock_now: float,
     ) -> None:
         """Expect a stream of events, or an answer to pass on whole."""
-        self.last_heard = clock_now
-        self.first_heard = float()
+        self.last_received_at = clock_now
+        self.first_event_at = float()
         self.sent = Sent()
         self.longest_gap_s = float()
-        self.started: Callable[[], None] = _nothing
-        self.noticed: Callable[[Notice], None] = _unnoticed
+        self.on_start: Callable[[], None] = _ignore_start
+        self.on_notice: Callable[[Notice], None] = _ignore_notice
         self._loop = asyncio.get_running_loop()
-        self._relay = relay
+        self._answer = answer
         self._dialect = dialect
         self._call_id = call_id
         self._streams = streams
-        self._sent_at = float()
+        self._last_sent_at = float()
         self._verdict: Verdict | None = None
         self._status = 0
         self._headers: Headers = []
         self._pieces: list[bytes] = []
         self._size = 0
-        self.fut: asyncio.Future[AttemptEnd] = self._loop.create_future()
+        self.fut: asyncio.Future[AttemptResult] = self._loop.create_future()
 
     async def run(
         self,
         driver: CurlDriver,
         req: Request,
-        bounds: 'Bounds',
-    ) -> AttemptEnd:
+        limits: 'AttemptLimits',
+    ) -> AttemptResult:
         """Send the request and see it through to an end."""
         transfer = driver.begin(req, self)
         try:
             while not self.fut.done():
-                wait_s = max(0, self._wake_at(bounds) - self._loop.time())
+                wait_s = max(0, self._wake_at(limits) - self._loop.time())
                 # Once an event has come it is due sooner than the first was.
-                wait_s = min(wait_s, bounds.next_s)
+                wait_s = min(wait_s, limits.next_event_s)
                 await asyncio.wait((self.fut,), timeout=wait_s)
-                self._watch(bounds)
+                self._check_timeouts(limits)
         finally:
             driver.cancel(transfer)
             self.sent = transfer.sent
@@ -153,82 +153,94 @@
 
     def head(self, status: int, headers: Headers) -> None:
         """Judge the head; a stream that is an answer begins to go out."""
-        self.last_heard = self._loop.time()
+        self.last_received_at = self._loop.time()
         self._status = status
         self._headers = headers
         self._verdict = self._dialect.verdict(status, headers, self._call_id)
         notice = self._dialect.notice(status, headers, self._call_id)
         if notice is not None:
-            self.noticed(notice)
+            self.on_notice(notice)
 
     def body(self, piece: bytes) -> None:
         """Pass whole events on; collect everything else."""
-        self.last_heard = self._loop.time()
+        self.last_received_at = self._loop.time()
         self._size += len(piece)
-        if self._passes_on:
-            whole = self._relay.cutter.feed(piece)
-            if whole:
-                self._send(whole)
-        elif self._size <= MOST_ANSWER_BYTES:
+        if self._is_forwarded:
+            whole_events = self._answer.cutter.feed(piece)
+            if whole_events:
+                self._send(whole_events)
+        elif self._size <= MAX_ANSWER_BYTES:
             self._pieces.append(piece)
 
     def done(self, finish: Finish) -> None:
         """Learn how the answer ended."""
         if not self.fut.done():
-            self.fut.set_result(self._end(finish))
+            self.fut.set_result(self._result_of(finish))
 
     @property
-    def _passes_on(self) -> bool:
+    def _is_forwarded(self) -> bool:
         return (
             self._streams
             and self._verdict is Verdict.ANSWER
             and self._status < _OK_BELOW
         )
 
-    def _send(self, whole: bytes) -> None:
-        relay = self._relay
-        if self.first_heard:
-            gap_s = self.last_heard - self._sent_at
+    def _send(self, whole_events: bytes) -> None:
+        answer = self._answer
+        if self.first_event_at:
+            gap_s = self.last_received_at - self._last_sent_at
             self.longest_gap_s = max(self.longest_gap_s, gap_s)
         else:
-            self.first_heard = self.last_heard
-            self.started()
-        self._sent_at = self.last_heard
-        if not relay.begun:
-            relay.begun = True
-            relay.version = self._dialect.version(self._headers)
+            self.first_event_at = self.last_received_at
+            self.on_start()
+        self._last_sent_at = self.last_received_at
+        if not answer.begun:
+            answer.begun = True
+            answer.version = self._dialect.version(self._headers)
             headers = self._dialect.answer_headers(self._headers)
-            relay.caller.begin(self._status, headers)
-        relay.caller.piece(whole)
+            answer.sink.begin(self._status, headers)
+        answer.sink.send_piece(whole_events)
 
-    def _end(self, finish: Finish) -> AttemptEnd:
+    def _result_of(self, finish: Finish) -> AttemptResult:
         if self._verdict is None or self._verdict is Verdict.FOREIGN:
             detail = finish.detail or 'foreign answer'
-            how = How.LOST if finish.connected else How.NOT_RUN
-            return AttemptEnd(how, finish.connected, detail)
+            outcome = (
+                AttemptOutcome.LOST
+                if finish.connected
+                else AttemptOutcome.NOT_RUN
+            )
+            return AttemptResult(outcome, finish.connected, detail)
         if self._verdict is Verdict.NOT_RUN:
             # The head alone says so; the rest of it does not matter.
-            return AttemptEnd(
-                How.NOT_RUN,
+            return AttemptResult(
+                AttemptOutcome.NOT_RUN,
                 reached=True,
                 detail=f'status {self._status}',
                 status=self._status,
                 headers=self._headers,
             )
-        if not finish.whole or self._size > MOST_ANSWER_BYTES:
-            return AttemptEnd(How.LOST, reached=True, detail=finish.detail)
-        return self._whole()
-
-    def _whole(self) -> AttemptEnd:
-        if self._passes_on:
-            if self._relay.cutter.half:
-                return AttemptEnd(How.LOST, reached=True, detail='half event')
-            if not self._relay.begun:
-                return AttemptEnd(How.LOST, reached=True, detail='no event')
-            return AttemptEnd(How.ANSWERED, reached=True, status=self._status)
+        if not finish.whole or self._size > MAX_ANSWER_BYTES:
+            return AttemptResult(
+                AttemptOutcome.LOST, reached=True, detail=finish.detail
+            )
+        return self._complete_result()
+
+    def _complete_result(self) -> AttemptResult:
+        if self._is_forwarded:
+            if self._answer.cutter.half:
+                return AttemptResult(
+                    AttemptOutcome.LOST, reached=True, detail='half event'
+                )
+            if not self._answer.begun:
+                return AttemptResult(
+                    AttemptOutcome.LOST, reached=True, detail='no event'
+                )
+            return AttemptResult(
+                AttemptOutcome.ANSWERED, reached=True, status=self._status
+            )
         failed = self._verdict is Verdict.FAILED
-        return AttemptEnd(
-            How.FAILED if failed else How.ANSWERED,
+        return AttemptResult(
+            AttemptOutcome.FAILED if failed else AttemptOutcome.ANSWERED,
             reached=True,
             detail=f'status {self._status}',
             status=self._status,
@@ -236,19 +248,21 @@
             body=b''.join(self._pieces),
         )
 
-    def _wake_at(self, bounds: 'Bounds') -> float:
-        if self.first_heard:
-            return min(bounds.until, self.last_heard + bounds.next_s)
-        first = self.last_heard + bounds.first_s
-        return min(bounds.until, first, bounds.start_by)
+    def _wake_at(self, limits: 'AttemptLimits') -> float:
+        if self.first_event_at:
+            return min(
+                limits.deadline, self.last_received_at + limits.next_event_s
+            )
+        first = self.last_received_at + limits.first_event_s
+        return min(limits.deadline, first, limits.start_by)
 
-    def _watch(self, bounds: 'Bounds') -> None:
+    def _check_timeouts(self, limits: 'AttemptLimits') -> None:
         now = self._loop.time()
-        if self.fut.done() or now < self._wake_at(bounds):
+        if self.fut.done() or now < self._wake_at(limits):
             return
-        how = How.STALLED
-        if now >= bounds.until:
-            how = How.TIMED_OUT
-        elif not self.first_heard and now >= bounds.start_by:
-            how = How.TAKEN_BACK
-        self.fut.set_result(AttemptEnd(how, reached=True))
+        outcome = AttemptOutcome.STALLED
+        if now >= limits.deadline:
+            outcome = AttemptOutcome.TIMED_OUT
+        elif not self.first_event_at and now >= limits.start_by:
+            outcome = AttemptOutcome.WITHDRAWN
+        self.fut.set_result(AttemptResult(outcome, reached=True))
--- a/src/linnetwood/calls/accounts.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -2,24 +2,24 @@
 
 import dataclasses
 
-from linnetwood.calls.attempt import Attempt, AttemptEnd
+from linnetwood.calls.attempt import Attempt, AttemptResult
 from linnetwood.calls.choice import Choice, Need
+from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.dialect import Urgency
 from linnetwood.calls.directory import Listed
-from linnetwood.calls.grounds import Grounds
 from linnetwood.calls.notices import Notice
-from linnetwood.calls.routebook import Route
+from linnetwood.calls.routetable import Route
 from linnetwood.calls.standing import Standing
 from linnetwood.core.events import Event, log
 from linnetwood.core.metrics import Metric, Metrics
 
 _MILLISECONDS = 1000
 # What a line says where nothing was heard.
-_NEVER = -1
+_UNKNOWN_MS = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Belief:
+class LoadEstimate:
     """What was believed of an endpoint when a call went there."""
 
     waiting: float
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sending:
+class SentAttempt:
     """An attempt as it goes out; the time is one of the loop's clock."""
 
     call_id: str
@@ -37,82 +37,84 @@
     route: Route
     choice: Choice
     urgency: Urgency
-    belief: Belief
-    at: float
-    grounds: Grounds
+    estimate: LoadEstimate
+    sent_at: float
+    config_basis: ConfigBasis
     prompt: int = 0
 
 
-def believed(standing: Standing, now: float) -> Belief:
+def load_estimate(standing: Standing, now: float) -> LoadEstimate:
     """Say what is believed of an endpoint."""
     waiting, running = standing.work(now)
     report = standing.report
-    age_ms = _NEVER if report is None else _ms(now - report.heard_at)
+    age_ms = _UNKNOWN_MS if report is None else _ms(now - report.heard_at)
     slow_ms = _ms(standing.slow_s(now))
-    return Belief(round(waiting, 1), running, age_ms, slow_ms)
+    return LoadEstimate(round(waiting, 1), running, age_ms, slow_ms)
 
 
-def count(
-    sending: Sending,
+def count_attempt(
+    sent_attempt: SentAttempt,
     attempt: Attempt,
-    end: AttemptEnd,
+    result: AttemptResult,
     metrics: Metrics,
 ) -> None:
     """Add an attempt to the figures."""
-    metrics.count(Metric.ATTEMPTS_ENDED, kind=end.how.value)
-    if sending.choice.version:
-        version = str(sending.choice.version)
+    metrics.count(Metric.ATTEMPTS_ENDED, kind=result.outcome.value)
+    if sent_attempt.choice.version:
+        version = str(sent_attempt.choice.version)
         metrics.count(Metric.ATTEMPTS_AT_VERSION, kind=version)
-    if attempt.first_heard:
-        first_s = attempt.first_heard - sending.at
+    if attempt.first_event_at:
+        first_s = attempt.first_event_at - sent_attempt.sent_at
         metrics.timing(Metric.FIRST_EVENT_MS, _ms(first_s))
-        metrics.timing(Metric.PREDICTED_MS, _ms(sending.choice.wait_s))
+        metrics.timing(Metric.PREDICTED_MS, _ms(sent_attempt.choice.wait_s))
 
 
-def tell(
-    sending: Sending,
+def log_attempt(
+    sent_attempt: SentAttempt,
     attempt: Attempt,
-    end: AttemptEnd,
+    result: AttemptResult,
     now: float,
 ) -> None:
     """Log how an attempt ended, beside what it should have been."""
-    first_heard = attempt.first_heard
+    first_event_at = attempt.first_event_at
     sent = attempt.sent
-    route = sending.route
-    belief = sending.belief
-    grounds = sending.grounds
+    route = sent_attempt.route
+    estimate = sent_attempt.estimate
+    config_basis = sent_attempt.config_basis
     log(
         Event.ATTEMPT_ENDED,
-        call=sending.call_id,
-        likeness=sending.likeness,
+        call=sent_attempt.call_id,
+        likeness=sent_attempt.likeness,
         route=route.name,
-        endpoint=sending.choice.endpoint.endpoint,
-        born=sending.choice.endpoint.born,
-        far=sending.choice.far,
-        version=sending.choice.version,
-        urgency=sending.urgency.value,
-        prompt=sending.prompt,
-        waiting=belief.waiting,
-        running=belief.running,
-        report_age_ms=belief.report_age_ms,
-        slow_ms=belief.slow_ms,
-        config_version=grounds.version,
-        config_age_ms=grounds.config_age_ms,
-        store_age_ms=grounds.store_age_ms,
-        predicted_ms=_ms(sending.choice.wait_s),
-        connect_ms=_ms(sent.connected_s) if sent.connected_s else _NEVER,
+        endpoint=sent_attempt.choice.endpoint.endpoint,
+        born=sent_attempt.choice.endpoint.born,
+        far=sent_attempt.choice.far,
+        version=sent_attempt.choice.version,
+        urgency=sent_attempt.urgency.value,
+        prompt=sent_attempt.prompt,
+        waiting=estimate.waiting,
+        running=estimate.running,
+        report_age_ms=estimate.report_age_ms,
+        slow_ms=estimate.slow_ms,
+        config_version=config_basis.version,
+        config_age_ms=config_basis.config_age_ms,
+        store_age_ms=config_basis.store_age_ms,
+        predicted_ms=_ms(sent_attempt.choice.wait_s),
+        connect_ms=_ms(sent.connected_s) if sent.connected_s else _UNKNOWN_MS,
         written_bytes=sent.written,
-        first_ms=_ms(first_heard - sending.at) if first_heard else _NEVER,
+        first_ms=_ms(first_event_at - sent_attempt.sent_at)
+        if first_event_at
+        else _UNKNOWN_MS,
         target_ms=_ms(route.target_s),
         gap_ms=_ms(attempt.longest_gap_s),
         allowed_gap_ms=_ms(route.gap_s),
-        took_ms=_ms(now - sending.at),
-        how=end.how.value,
-        detail=end.detail,
+        took_ms=_ms(now - sent_attempt.sent_at),
+        how=result.outcome.value,
+        detail=result.detail,
     )
 
 
-def tell_notice(
+def log_notice(
     one: Listed,
     notice: Notice,
     call_id: str = '',
@@ -132,12 +134,12 @@
     )
 
 
-def tell_admission(
+def log_admission(
     call_id: str,
     route: Route,
     need: Need,
     choice: Choice,
-    belief: Belief,
+    estimate: LoadEstimate,
     outcome: str,
 ) -> None:
     """Log what was decided of a call that no endpoint begins in time."""
@@ -149,9 +151,9 @@
         far=choice.far,
         version=choice.version,
         prompt=need.prompt,
-        waiting=belief.waiting,
-        running=belief.running,
-        report_age_ms=belief.report_age_ms,
+        waiting=estimate.waiting,
+        running=estimate.running,
+        report_age_ms=estimate.report_age_ms,
         predicted_ms=_ms(choice.wait_s),
         enough_ms=_ms(need.enough_s),
         target_ms=_ms(route.target_s),
--- a/src/linnetwood/calls/reading.py
+++ b/src/linnetwood/calls/callparsing.py
@@ -3,66 +3,66 @@
 import dataclasses
 from random import Random
 
+from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.dialect import CallHead, Dialect
 from linnetwood.calls.direct import DirectCall
-from linnetwood.calls.grounds import Grounds
 from linnetwood.calls.likeness import likeness
 from linnetwood.calls.reach import reach_of
-from linnetwood.calls.routebook import (
+from linnetwood.calls.routetable import (
     Organisation,
     Route,
-    RouteBook,
+    RouteTable,
     pick_service,
 )
 from linnetwood.core.outcomes import Code, Ending, not_run
 from linnetwood.wire.curldriver import Headers
 
 # A caller that names no deadline is held no longer than this.
-_DEFAULT_WAIT_S = 30.0
+_DEFAULT_WAIT_LIMIT_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrival:
+class IncomingRequest:
     """One request as it was read, when, and what it is decided by."""
 
     method: str
     target: str
     headers: Headers
     body: bytes
-    at: float
-    grounds: Grounds = Grounds()
+    arrived_at: float
+    config_basis: ConfigBasis = ConfigBasis()
 
 
 def read_call(
-    arrival: Arrival,
-    book: RouteBook,
+    incoming: IncomingRequest,
+    route_table: RouteTable,
     dialect: Dialect,
     rng: Random,
 ) -> DirectCall | Ending:
     """Find the route, the organisation and the service of a request."""
-    if not book.revision:
+    if not route_table.revision:
         return not_run(Code.NOT_SERVING, 'no configuration yet')
-    route = book.find(asked_host(arrival.headers), arrival.target)
+    route = route_table.find(requested_host(incoming.headers), incoming.target)
     if route is None:
-        return not_run(Code.UNKNOWN_TARGET, arrival.target)
-    head = dialect.read(arrival.headers)
-    organisation = book.organisation(head.key)
-    restricted = book.organisations is not None and not route.public
+        return not_run(Code.UNKNOWN_TARGET, incoming.target)
+    head = dialect.read(incoming.headers)
+    organisation = route_table.organisation(head.key)
+    restricted = route_table.organisations is not None and not route.public
     if restricted and organisation is None:
         return not_run(Code.KEY_UNKNOWN, route.name)
-    return _call(arrival, book, route, head, organisation, rng)
+    return _resolve_call(incoming, route_table, route, head, organisation, rng)
 
 
-def _call(
-    arrival: Arrival,
-    book: RouteBook,
+def _resolve_call(
+    incoming: IncomingRequest,
+    route_table: RouteTable,
     route: Route,
     head: CallHead,
     organisation: Organisation | None,
     rng: Random,
 ) -> DirectCall | Ending:
     name = pick_service(route, rng.random())
-    service = book.services.get(name)
+    service = route_table.services.get(name)
     if service is None:
         return not_run(Code.NO_ENDPOINT, name)
     return DirectCall(
@@ -70,30 +70,30 @@
         route,
         service,
         organisation,
-        arrival.method,
-        arrival.target,
-        arrival.headers,
-        arrival.body,
-        arrival.at,
-        arrival.at + min(held_s(head), route.timeout_s),
-        arrival.grounds,
+        incoming.method,
+        incoming.target,
+        incoming.headers,
+        incoming.body,
+        incoming.arrived_at,
+        incoming.arrived_at + min(wait_limit_s(head), route.timeout_s),
+        incoming.config_basis,
         reach_of(route.regions, organisation.regions if organisation else ()),
         likeness(
             organisation.name if organisation else '',
-            arrival.method,
+            incoming.method,
             route.host,
-            arrival.target,
-            arrival.body,
+            incoming.target,
+            incoming.body,
         ),
     )
 
 
-def held_s(head: CallHead) -> float:
+def wait_limit_s(head: CallHead) -> float:
     """Give the seconds that a caller waits for its answer."""
-    return _DEFAULT_WAIT_S if head.wait_s is None else head.wait_s
+    return _DEFAULT_WAIT_LIMIT_S if head.wait_s is None else head.wait_s
 
 
-def asked_host(headers: Headers) -> str:
+def requested_host(headers: Headers) -> str:
     """Give the host that a request names, or nothing."""
     for name, text in headers:
         if name.lower() == 'host':
--- a/src/linnetwood/calls/choice.py
+++ b/src/linnetwood/calls/choice.py
@@ -11,7 +11,7 @@
 from linnetwood.calls.limits import Place, RateLimits
 from linnetwood.calls.notices import Notices
 from linnetwood.calls.reach import ANYWHERE, Reach
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.routetable import Service
 from linnetwood.calls.standing import Reporting, Standing
 
 _SUSPECT_S = 1.0
--- a/src/linnetwood/calls/entrance.py
+++ b/src/linnetwood/calls/deadlineadmission.py
@@ -3,48 +3,56 @@
 import dataclasses
 from typing import Protocol
 
-from linnetwood.calls.accounts import believed, tell_admission
+from linnetwood.calls.attemptlog import load_estimate, log_admission
 from linnetwood.calls.choice import Choice, Chooser, Need
 from linnetwood.calls.dialect import Urgency
 from linnetwood.calls.direct import DirectCall
-from linnetwood.calls.policy.firsttries import AllAlike, FirstTries, Said
-from linnetwood.calls.policy.returnroom import Place, ReturnRoom, as_first
-from linnetwood.calls.policy.returns import Returns
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.policy.firstattempts import (
+    AlwaysFirst,
+    CallTraits,
+    FirstAttemptDetector,
+)
+from linnetwood.calls.policy.retryafter import RetryAfterPolicy
+from linnetwood.calls.policy.retrycapacity import (
+    RetryCapacity,
+    SlotUsage,
+    same_as_first,
+)
+from linnetwood.calls.routetable import Service
 from linnetwood.core.clock import Clock
 from linnetwood.core.outcomes import Code, Ending, not_run
 
 _MILLISECONDS = 1000
 # So many slots of an engine are left to calls that will be in time.
-_KEPT_FREE = 1
+_RESERVED_SLOTS = 1
 
 
-class Needs(Protocol):
+class RequirementsSource(Protocol):
     """Say what calls ask of endpoints."""
 
     def need(self, call: DirectCall) -> Need:
         """Say it for one call."""
 
 
-class Entrance:
+class DeadlineAdmission:
     """Admit calls that can be in time, and late ones that keep out nobody."""
 
     def __init__(
         self,
         chooser: Chooser,
-        dispatcher: Needs,
+        dispatcher: RequirementsSource,
         clock: Clock,
-        returns: Returns,
-        first_tries: FirstTries | None = None,
-        return_room: ReturnRoom = as_first,
+        retry_after: RetryAfterPolicy,
+        first_attempts: FirstAttemptDetector | None = None,
+        retry_capacity: RetryCapacity = same_as_first,
     ) -> None:
         """Predict by the chooser's view."""
-        self._first_tries = first_tries or AllAlike()
-        self._return_room = return_room
+        self._first_attempts = first_attempts or AlwaysFirst()
+        self._retry_capacity = retry_capacity
         self._chooser = chooser
         self._dispatcher = dispatcher
         self._clock = clock
-        self._returns = returns
+        self._retry_after = retry_after
 
     def __call__(self, call: DirectCall) -> Urgency | Ending:
         """Give how urgent the call is, or why it is refused."""
@@ -53,34 +61,36 @@
         now = self._clock.now()
         need = self._dispatcher.need(call)
         choice = self._chooser.choose(need, (), now)
-        said = Said(call.route.name, call.head.wait_s, call.route.target_s)
-        first = self._first_tries.is_first(said, now)
+        traits = CallTraits(
+            call.route.name, call.head.wait_s, call.route.target_s
+        )
+        first = self._first_attempts.is_first(traits, now)
         if choice is None:
             limited_s = self._chooser.limited_s(need, now)
             why = 'limited' if limited_s else 'none'
             return self._refusal(Code.NO_ENDPOINT, call, why, limited_s)
-        if not (first or self._may_return(call.service, choice)):
-            self._tell(call, need, choice, 'returned')
+        if not (first or self._has_retry_capacity(call.service, choice)):
+            self._log_decision(call, need, choice, 'returned')
             return self._refusal(Code.OVERLOADED, call, 'came back')
         if choice.wait_s <= need.enough_s:
-            self._returns.admitted(now)
+            self._retry_after.admitted(now)
             return Urgency.IN_TIME
-        late = self._room_behind(need)
-        self._tell(call, need, choice, 'late' if late else 'refused')
+        late = self._has_room_for_late(need)
+        self._log_decision(call, need, choice, 'late' if late else 'refused')
         if late:
             return Urgency.LATE
         detail = f'predicted {round(choice.wait_s * _MILLISECONDS)} ms'
         return self._refusal(Code.OVERLOADED, call, detail)
 
-    def _may_return(self, service: Service, choice: Choice) -> bool:
+    def _has_retry_capacity(self, service: Service, choice: Choice) -> bool:
         """Tell whether a caller who comes back keeps out no first try."""
         if service.engine is None:
             return True
         standing = self._chooser.standing(choice.endpoint.life)
-        taken = sum(standing.work(self._clock.now()))
-        return self._return_room(Place(taken, service.engine.slots))
+        used_slots = sum(standing.work(self._clock.now()))
+        return self._retry_capacity(SlotUsage(used_slots, service.engine.slots))
 
-    def _room_behind(self, need: Need) -> bool:
+    def _has_room_for_late(self, need: Need) -> bool:
         """Tell whether a late call would take nobody's place.
 
         A slot must be free: late calls that fill the last ones keep out those
@@ -94,9 +104,9 @@
             return False
         standing = self._chooser.standing(choice.endpoint.life)
         waiting, running = standing.work(now)
-        return waiting + running < engine.slots - _KEPT_FREE
+        return waiting + running < engine.slots - _RESERVED_SLOTS
 
-    def _tell(
+    def _log_decision(
         self,
         call: DirectCall,
         need: Need,
@@ -104,13 +114,13 @@
         outcome: str,
     ) -> None:
         standing = self._chooser.standing(choice.endpoint.life)
-        belief = believed(standing, self._clock.now())
-        tell_admission(
+        estimate = load_estimate(standing, self._clock.now())
+        log_admission(
             call.head.call_id,
             call.route,
             need,
             choice,
-            belief,
+            estimate,
             outcome,
         )
 
@@ -119,11 +129,11 @@
         code: Code,
         call: DirectCall,
         detail: str,
-        least_s: float = 0,
+        min_s: float = 0,
     ) -> Ending:
         """Refuse, and say when to come back: not before there is room."""
         now = self._clock.now()
-        self._first_tries.refused(now)
-        after_s = self._returns.after_s(call.until - now, now)
-        after_s = max(after_s, least_s)
+        self._first_attempts.refused(now)
+        after_s = self._retry_after.after_s(call.deadline - now, now)
+        after_s = max(after_s, min_s)
         return not_run(code, detail, int(after_s * _MILLISECONDS))
--- a/src/linnetwood/calls/dialect.py
+++ b/src/linnetwood/calls/dialect.py
@@ -37,11 +37,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Errand:
+class OutgoingCall:
     """What an attempt adds to the caller's own headers."""
 
     endpoint: str
-    left_s: float
+    remaining_s: float
     organisation: str
     version: int = 0
     resume_after: str = ''
@@ -54,7 +54,7 @@
     def read(self, headers: Headers) -> CallHead:
         """Read a caller's headers."""
 
-    def outgoing(self, headers: Headers, errand: Errand) -> Headers:
+    def outgoing(self, headers: Headers, call: OutgoingCall) -> Headers:
         """Give the headers of an attempt."""
 
     def verdict(self, status: int, headers: Headers, call_id: str) -> Verdict:
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -6,32 +6,32 @@
 import math
 from collections.abc import Callable
 
-from linnetwood.calls.accounts import (
-    Sending,
-    believed,
-    count,
-    tell,
-    tell_notice,
-)
 from linnetwood.calls.attempt import (
+    AnswerSink,
+    AnswerStream,
     Attempt,
-    AttemptEnd,
-    Bounds,
-    Caller,
-    How,
-    Relay,
+    AttemptLimits,
+    AttemptOutcome,
+    AttemptResult,
+)
+from linnetwood.calls.attemptlog import (
+    SentAttempt,
+    count_attempt,
+    load_estimate,
+    log_attempt,
+    log_notice,
 )
 from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.crashwatch import Ends, Unwatched
-from linnetwood.calls.dialect import CallHead, Dialect, Errand, Urgency
+from linnetwood.calls.dialect import CallHead, Dialect, OutgoingCall, Urgency
 from linnetwood.calls.directory import Listed
-from linnetwood.calls.grounds import Grounds
 from linnetwood.calls.notices import Notice
-from linnetwood.calls.patience import Silence
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
-from linnetwood.calls.retries import SHARE, RetryBudget
 from linnetwood.calls.reach import ANYWHERE, Reach
-from linnetwood.calls.routebook import Organisation, Repeat, Route, Service
+from linnetwood.calls.retries import RETRY_SHARE, RetryBudget
+from linnetwood.calls.routetable import Organisation, Repeat, Route, Service
+from linnetwood.calls.silencetimeouts import SilenceTimeouts
 from linnetwood.calls.standing import Standing
 from linnetwood.core.metrics import Metrics
 from linnetwood.core.outcomes import (
@@ -52,13 +52,13 @@
 
 # A handshake takes two delays of a few milliseconds; a lost packet is sent
 # again after a second, so a try elsewhere comes sooner.
-CONNECT_S = 0.4
+CONNECT_TIMEOUT_S = 0.4
 # Below this nothing can be answered any more.
-_LEAST_LEFT_S = 0.02
+_MIN_REMAINING_S = 0.02
 _RETRY_AFTER_MS = 200
 _MILLISECONDS = 1000
 # So long a call has there, on any way, before it is taken back.
-_BEGIN_S = MARGIN_S - START_MARGIN_S
+_MIN_TIME_TO_BEGIN_S = MARGIN_S - START_MARGIN_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,9 +73,9 @@
     target: str
     headers: Headers
     body: bytes
-    arrived: float
-    until: float
-    grounds: Grounds = Grounds()
+    arrived_at: float
+    deadline: float
+    config_basis: ConfigBasis = ConfigBasis()
     reach: Reach = ANYWHERE
     # What it shares with calls that ask the same; nothing where unknown.
     likeness: str = ''
@@ -87,14 +87,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RetryBounds:
+class RetryLimits:
     """What this entry may send again: a share of its calls, and a reserve."""
 
-    share: float = SHARE
+    share: float = RETRY_SHARE
     reserve: float = 4
 
 
-def _tell_nobody(one: Listed, now: float) -> None:
+def _ignore_notice(one: Listed, now: float) -> None:
     """Keep to itself what an endpoint says."""
 
 
@@ -112,10 +112,10 @@
         lateness: Callable[[], Lateness] = MeanLateness,
     ) -> None:
         """Use the given parts; know no retry budgets yet."""
-        self.retry_bounds = RetryBounds()
-        self.ends: Ends = Unwatched()
+        self.retry_limits = RetryLimits()
+        self.crash_observer: Ends = Unwatched()
         # Told of each endpoint that has said something of itself just now.
-        self.noticed: Callable[[Listed, float], None] = _tell_nobody
+        self.on_notice: Callable[[Listed, float], None] = _ignore_notice
         self._budgets: dict[str, RetryBudget] = {}
         self._new_lateness = lateness
         self._lateness: dict[str, Lateness] = {}
@@ -137,7 +137,7 @@
             model,
             self._wanted.least(model, self._loop.time()) if model else 0,
             closing=self._wanted.closing(model),
-            enough_s=self._enough_s(call),
+            enough_s=self._max_wait_s(call),
             reach=call.reach,
             lot=place_hash(call.head.call_id),
         )
@@ -145,36 +145,38 @@
     async def run(
         self,
         call: DirectCall,
-        caller: Caller,
+        caller: AnswerSink,
         urgency: Urgency = Urgency.IN_TIME,
     ) -> Ending:
         """Run the call; the caller has its answer unless the ending says no."""
-        relay = Relay(caller, call.head.resume_after)
-        progress = _Progress()
-        budget = self._budget(call.service.name)
+        answer = AnswerStream(caller, call.head.resume_after)
+        history = _AttemptHistory()
+        budget = self._retry_budget(call.service.name)
         budget.earn()
         while True:
             now = self._loop.time()
             # One answer comes of one version, also when it is resumed.
             need = dataclasses.replace(
                 self.need(call),
-                exact_version=relay.version,
+                exact_version=answer.version,
                 urgent=urgency is Urgency.IN_TIME,
             )
-            choice = self._chooser.choose(need, progress.tried, now)
+            choice = self._chooser.choose(need, history.tried, now)
             if choice is None:
                 limited_s = self._chooser.limited_s(need, now)
-                return progress.unplaced(relay, limited_s)
-            end = await self._attempt(call, need, choice, relay, urgency)
-            progress.note(choice.endpoint.life, end)
-            if end.how is How.ANSWERED:
-                self._deliver(relay, end)
+                return history.no_endpoint(answer, limited_s)
+            result = await self._run_attempt(
+                call, need, choice, answer, urgency
+            )
+            history.add(choice.endpoint.life, result)
+            if result.outcome is AttemptOutcome.ANSWERED:
+                self._deliver(answer, result)
                 return ANSWERED
-            if not self._again(call, progress, end, relay, budget):
-                return self._give_up(relay, progress, end)
-            relay.cutter.drop_half()
+            if not self._may_retry(call, history, result, answer, budget):
+                return self._give_up(answer, history, result)
+            answer.cutter.drop_half()
 
-    def _enough_s(self, call: DirectCall) -> float:
+    def _max_wait_s(self, call: DirectCall) -> float:
         """Give the wait that may be predicted for a call that is in time."""
         target_s = call.route.target_s
         lateness = self._lateness_of(call.service.name)
@@ -187,91 +189,98 @@
             self._lateness[service] = found
         return found
 
-    def _budget(self, service: str) -> RetryBudget:
-        bounds = self.retry_bounds
+    def _retry_budget(self, service: str) -> RetryBudget:
+        limits = self.retry_limits
         budget = self._budgets.get(service)
         if budget is None:
             # A process that starts anew must not spend its part twice.
-            budget = RetryBudget(bounds.share, bounds.reserve / 2)
+            budget = RetryBudget(limits.share, limits.reserve / 2)
             self._budgets[service] = budget
-        budget.bound(bounds.share, bounds.reserve)
+        budget.set_limits(limits.share, limits.reserve)
         return budget
 
-    async def _attempt(
+    async def _run_attempt(
         self,
         call: DirectCall,
         need: Need,
         choice: Choice,
-        relay: Relay,
+        answer: AnswerStream,
         urgency: Urgency,
-    ) -> AttemptEnd:
+    ) -> AttemptResult:
         now = self._loop.time()
-        left_s = call.until - now
-        bounds = self._bounds(call, choice, urgency)
-        if left_s < _LEAST_LEFT_S or not self._may_begin(choice, bounds, now):
-            return AttemptEnd(How.NOT_RUN, reached=False, detail='late')
+        remaining_s = call.deadline - now
+        limits = self._limits(call, choice, urgency)
+        if remaining_s < _MIN_REMAINING_S or not self._has_time_to_begin(
+            choice, limits, now
+        ):
+            return AttemptResult(
+                AttemptOutcome.NOT_RUN, reached=False, detail='late'
+            )
         attempt = Attempt(
-            relay,
+            answer,
             self._dialect,
             call.head.call_id,
             streams=call.route.streams,
             clock_now=now,
         )
-        errand = self._errand(call, need, choice, relay, urgency)
+        outgoing = self._outgoing_call(call, need, choice, answer, urgency)
         standing = self._chooser.standing(choice.endpoint.life)
-        sending = Sending(
+        sent_attempt = SentAttempt(
             call.head.call_id,
             call.likeness,
             call.route,
             choice,
             urgency,
-            believed(standing, now),
+            load_estimate(standing, now),
             now,
-            call.grounds,
+            call.config_basis,
             call.head.prompt,
         )
         standing.sent()
         self._chooser.sent(call.service, choice.endpoint, now)
-        waiting = _Waiting(standing, urgency)
-        attempt.started = functools.partial(
-            self._begun,
+        waiting_count = _WaitingCount(standing, urgency)
+        attempt.on_start = functools.partial(
+            self._on_begun,
             call,
-            sending,
-            waiting,
+            sent_attempt,
+            waiting_count,
         )
-        attempt.noticed = functools.partial(self._noticed, sending)
+        attempt.on_notice = functools.partial(self._on_notice, sent_attempt)
         try:
-            end = await attempt.run(
+            result = await attempt.run(
                 self._driver,
-                self._request(call, choice, errand),
-                bounds,
+                self._request(call, choice, outgoing),
+                limits,
             )
         finally:
-            waiting.over()
+            waiting_count.release()
             standing.ended()
-        self._learn(call.service, sending, attempt, end)
-        self._tell_end(call, choice, attempt, end)
-        if end.how is How.STALLED and not attempt.first_heard:
-            self._learn_wait(call, sending)
-        tell(sending, attempt, end, self._loop.time())
-        count(sending, attempt, end, self._metrics)
-        return end
-
-    def _errand(
+        self._update_stats(call.service, sent_attempt, attempt, result)
+        self._report_to_crash_observer(call, choice, attempt, result)
+        if (
+            result.outcome is AttemptOutcome.STALLED
+            and not attempt.first_event_at
+        ):
+            self._update_lateness(call, sent_attempt)
+        log_attempt(sent_attempt, attempt, result, self._loop.time())
+        count_attempt(sent_attempt, attempt, result, self._metrics)
+        return result
+
+    def _outgoing_call(
         self,
         call: DirectCall,
         need: Need,
         choice: Choice,
-        relay: Relay,
+        answer: AnswerStream,
         urgency: Urgency,
-    ) -> Errand:
+    ) -> OutgoingCall:
         bound = bool(need.least_version or need.exact_version)
-        return Errand(
+        return OutgoingCall(
             choice.endpoint.endpoint,
-            call.until - self._loop.time(),
+            call.deadline - self._loop.time(),
             call.organisation.name if call.organisation else '',
             choice.version if bound else 0,
-            relay.cutter.last_id,
+            answer.cutter.last_id,
             urgency,
         )
 
@@ -279,25 +288,25 @@
         self,
         call: DirectCall,
         choice: Choice,
-        errand: Errand,
+        outgoing: OutgoingCall,
     ) -> Request:
         return Request(
             choice.endpoint.host,
             choice.endpoint.port,
             call.method,
             call.target,
-            self._dialect.outgoing(call.headers, errand),
+            self._dialect.outgoing(call.headers, outgoing),
             call.body,
-            min(CONNECT_S, errand.left_s),
-            errand.left_s,
+            min(CONNECT_TIMEOUT_S, outgoing.remaining_s),
+            outgoing.remaining_s,
         )
 
-    def _bounds(
+    def _limits(
         self,
         call: DirectCall,
         choice: Choice,
         urgency: Urgency,
-    ) -> Bounds:
+    ) -> AttemptLimits:
         start_by = math.inf
         if choice.version and call.repeatable:
             start_by = self._wanted.start_by(call.head.model, choice.version)
@@ -305,130 +314,149 @@
             standing = self._chooser.standing(choice.endpoint.life)
             start_by -= standing.slow_s(self._loop.time())
         if not call.route.streams or call.route.repeat is not Repeat.RESUME:
-            return Bounds(call.until, start_by, math.inf, math.inf)
-        silence = Silence.of(call.route)
-        first_s = silence.first_s
-        if urgency is Urgency.LATE or choice.wait_s > first_s / 2:
+            return AttemptLimits(call.deadline, start_by, math.inf, math.inf)
+        timeouts = SilenceTimeouts.for_route(call.route)
+        first_event_s = timeouts.first_event_s
+        if urgency is Urgency.LATE or choice.wait_s > first_event_s / 2:
             # It was known to wait; another endpoint would not be sooner.
-            first_s = silence.late_first_s
-        return Bounds(call.until, start_by, first_s, silence.next_s)
+            first_event_s = timeouts.late_first_event_s
+        return AttemptLimits(
+            call.deadline, start_by, first_event_s, timeouts.next_event_s
+        )
 
-    def _may_begin(self, choice: Choice, bounds: Bounds, now: float) -> bool:
+    def _has_time_to_begin(
+        self, choice: Choice, limits: AttemptLimits, now: float
+    ) -> bool:
         """Tell whether it has time there before it is taken back."""
         slow_s = self._chooser.standing(choice.endpoint.life).slow_s(now)
-        left_s = bounds.start_by - now - slow_s
-        return not slow_s or left_s >= _BEGIN_S
+        remaining_s = limits.start_by - now - slow_s
+        return not slow_s or remaining_s >= _MIN_TIME_TO_BEGIN_S
 
-    def _begun(
+    def _on_begun(
         self,
         call: DirectCall,
-        sending: Sending,
-        waiting: '_Waiting',
+        sent_attempt: SentAttempt,
+        waiting_count: '_WaitingCount',
     ) -> None:
-        waiting.over()
-        self._note_begun(sending)
-        self._learn_wait(call, sending)
+        waiting_count.release()
+        self._note_begun(sent_attempt)
+        self._update_lateness(call, sent_attempt)
 
-    def _noticed(self, sending: Sending, notice: Notice) -> None:
+    def _on_notice(self, sent_attempt: SentAttempt, notice: Notice) -> None:
         """Take in what an endpoint says of itself, as soon as its head came."""
-        one = sending.choice.endpoint
+        one = sent_attempt.choice.endpoint
         now = self._loop.time()
         notices = self._chooser.notices
         if notices.heard(one.life, notice, now):
             known = notices.of(one.life)
-            tell_notice(one, known, sending.call_id, notice.rest_s)
-        self.noticed(one, now)
-
-    def _note_begun(self, sending: Sending) -> None:
-        standing = self._chooser.standing(sending.choice.endpoint.life)
-        waited_s = self._loop.time() - sending.at
-        standing.began(sending.at, waited_s - sending.choice.wait_s)
+            log_notice(one, known, sent_attempt.call_id, notice.rest_s)
+        self.on_notice(one, now)
+
+    def _note_begun(self, sent_attempt: SentAttempt) -> None:
+        standing = self._chooser.standing(sent_attempt.choice.endpoint.life)
+        waited_s = self._loop.time() - sent_attempt.sent_at
+        standing.began(
+            sent_attempt.sent_at, waited_s - sent_attempt.choice.wait_s
+        )
 
-    def _learn_wait(self, call: DirectCall, sending: Sending) -> None:
+    def _update_lateness(
+        self, call: DirectCall, sent_attempt: SentAttempt
+    ) -> None:
         """Compare how long an admitted call waited with what was predicted."""
-        if call.service.engine is None or sending.urgency is Urgency.LATE:
+        if call.service.engine is None or sent_attempt.urgency is Urgency.LATE:
             return
         now = self._loop.time()
         lateness = self._lateness_of(call.service.name)
-        lateness.seen(sending.choice.wait_s, now - sending.at, now)
+        lateness.seen(
+            sent_attempt.choice.wait_s, now - sent_attempt.sent_at, now
+        )
 
-    def _learn(
+    def _update_stats(
         self,
         service: Service,
-        sending: Sending,
+        sent_attempt: SentAttempt,
         attempt: Attempt,
-        end: AttemptEnd,
+        result: AttemptResult,
     ) -> None:
-        choice = sending.choice
+        choice = sent_attempt.choice
         standing = self._chooser.standing(choice.endpoint.life)
-        if end.how is How.ANSWERED:
+        if result.outcome is AttemptOutcome.ANSWERED:
             standing.answered()
-            if not attempt.first_heard:
-                self._note_begun(sending)
-        elif not end.reached or end.how is How.STALLED:
+            if not attempt.first_event_at:
+                self._note_begun(sent_attempt)
+        elif not result.reached or result.outcome is AttemptOutcome.STALLED:
             now = self._loop.time()
             standing.unreachable(now)
             self._chooser.lost(service, choice.endpoint, now)
-        elif end.how in {How.FAILED, How.LOST}:
+        elif result.outcome in {AttemptOutcome.FAILED, AttemptOutcome.LOST}:
             standing.failed()
 
-    def _tell_end(
+    def _report_to_crash_observer(
         self,
         call: DirectCall,
         choice: Choice,
         attempt: Attempt,
-        end: AttemptEnd,
+        result: AttemptResult,
     ) -> None:
         """Say what an attempt shows of calls that may end endpoints."""
-        if end.how is How.LOST:
-            heard_s = float()
-            if attempt.first_heard:
-                heard_s = self._loop.time() - attempt.first_heard
-            self.ends.lost(call.likeness, choice.endpoint, heard_s)
-        elif end.how in {How.ANSWERED, How.FAILED}:
+        if result.outcome is AttemptOutcome.LOST:
+            since_first_event_s = float()
+            if attempt.first_event_at:
+                since_first_event_s = self._loop.time() - attempt.first_event_at
+            self.crash_observer.lost(
+                call.likeness, choice.endpoint, since_first_event_s
+            )
+        elif result.outcome in {AttemptOutcome.ANSWERED, AttemptOutcome.FAILED}:
             # An endpoint that says so has outlived the call.
-            self.ends.answered(call.likeness)
+            self.crash_observer.answered(call.likeness)
 
-    def _again(
+    def _may_retry(
         self,
         call: DirectCall,
-        progress: '_Progress',
-        end: AttemptEnd,
-        relay: Relay,
+        history: '_AttemptHistory',
+        result: AttemptResult,
+        answer: AnswerStream,
         budget: RetryBudget,
     ) -> bool:
-        if end.how is How.TIMED_OUT or progress.reached >= call.route.attempts:
+        if (
+            result.outcome is AttemptOutcome.TIMED_OUT
+            or history.reached >= call.route.attempts
+        ):
             return False
-        if call.until - self._loop.time() < _LEAST_LEFT_S:
+        if call.deadline - self._loop.time() < _MIN_REMAINING_S:
             return False
-        if end.how is not How.NOT_RUN and not call.repeatable:
+        if result.outcome is not AttemptOutcome.NOT_RUN and not call.repeatable:
             return False
-        if relay.begun and call.route.repeat is not Repeat.RESUME:
+        if answer.begun and call.route.repeat is not Repeat.RESUME:
             return False
-        if not self.ends.may_go_again(call.likeness):
+        if not self.crash_observer.may_go_again(call.likeness):
             return False
-        return not end.reached or budget.spend()
+        return not result.reached or budget.spend()
 
-    def _deliver(self, relay: Relay, end: AttemptEnd) -> None:
-        if relay.begun:
-            relay.caller.finish()
+    def _deliver(self, answer: AnswerStream, result: AttemptResult) -> None:
+        if answer.begun:
+            answer.sink.finish()
         else:
-            relay.caller.whole(end.status, end.headers, end.body)
+            answer.sink.send_whole(result.status, result.headers, result.body)
 
     def _give_up(
         self,
-        relay: Relay,
-        progress: '_Progress',
-        end: AttemptEnd,
+        answer: AnswerStream,
+        history: '_AttemptHistory',
+        result: AttemptResult,
     ) -> Ending:
-        if end.how is How.FAILED and not relay.begun:
-            relay.caller.whole(end.status, end.headers, end.body)
+        if result.outcome is AttemptOutcome.FAILED and not answer.begun:
+            answer.sink.send_whole(result.status, result.headers, result.body)
             return ANSWERED
-        code = Code.LATE if end.how is How.TIMED_OUT else Code.CONNECTION_LOST
-        return progress.ending(relay, code, end.detail)
+        code = (
+            Code.LATE
+            if result.outcome is AttemptOutcome.TIMED_OUT
+            else Code.CONNECTION_LOST
+        )
+        return history.ending(answer, code, result.detail)
 
 
-class _Waiting:
+class _WaitingCount:
     """Count a call among those that wait at an endpoint until it begins."""
 
     __slots__ = ('_standing', '_urgency')
@@ -438,7 +466,7 @@
         self._urgency = urgency
         self._count(standing, 1)
 
-    def over(self) -> None:
+    def release(self) -> None:
         standing = self._standing
         if standing is not None:
             self._standing = None
@@ -451,7 +479,7 @@
             standing.urgent_waiting += change
 
 
-class _Progress:
+class _AttemptHistory:
     """What the attempts of one call came to."""
 
     __slots__ = ('may_have_run', 'reached', 'tried')
@@ -461,23 +489,25 @@
         self.reached = 0
         self.may_have_run = False
 
-    def note(self, life: str, end: AttemptEnd) -> None:
+    def add(self, life: str, result: AttemptResult) -> None:
         self.tried.add(life)
-        self.reached += end.reached
-        if end.how is not How.NOT_RUN:
+        self.reached += result.reached
+        if result.outcome is not AttemptOutcome.NOT_RUN:
             self.may_have_run = True
 
-    def unplaced(self, relay: Relay, limited_s: float) -> Ending:
+    def no_endpoint(self, answer: AnswerStream, limited_s: float) -> Ending:
         """End a call that no endpoint takes, or none before some seconds."""
-        ending = self.ending(relay, Code.NO_ENDPOINT)
+        ending = self.ending(answer, Code.NO_ENDPOINT)
         if ending.outcome is not Outcome.NOT_RUN or not limited_s:
             return ending
         after_ms = max(_RETRY_AFTER_MS, math.ceil(limited_s * _MILLISECONDS))
         return not_run(Code.NO_ENDPOINT, 'limited', after_ms)
 
-    def ending(self, relay: Relay, code: Code, detail: str = '') -> Ending:
-        if relay.begun:
-            relay.caller.abort()
+    def ending(
+        self, answer: AnswerStream, code: Code, detail: str = ''
+    ) -> Ending:
+        if answer.begun:
+            answer.sink.abort()
             return Ending(Outcome.UNKNOWN, code.value, detail)
         if self.may_have_run:
             return unknown(code, detail)
--- a/src/linnetwood/calls/front.py
+++ b/src/linnetwood/calls/frontend.py
@@ -18,12 +18,17 @@
 )
 from tornado.iostream import StreamClosedError
 
+from linnetwood.calls.callparsing import (
+    IncomingRequest,
+    read_call,
+    requested_host,
+    wait_limit_s,
+)
+from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.dialect import CallHead, Dialect, Urgency
 from linnetwood.calls.direct import DirectCall, DirectDispatcher
-from linnetwood.calls.grounds import Grounds
-from linnetwood.calls.policy.returns import LastPart
-from linnetwood.calls.reading import Arrival, asked_host, held_s, read_call
-from linnetwood.calls.routebook import CallLimits, RouteBook
+from linnetwood.calls.policy.retryafter import LastPart
+from linnetwood.calls.routetable import CallLimits, RouteTable
 from linnetwood.core.events import Event, log
 from linnetwood.core.metrics import Metric, Metrics
 from linnetwood.core.outcomes import Code, Ending, Outcome, not_run
@@ -37,9 +42,9 @@
 _BAD_REQUEST = 400
 _MILLISECONDS = 1000
 # Another entry can be asked at once.
-_ELSEWHERE_MS = 100
+_RETRY_ELSEWHERE_MS = 100
 # What a caller wrote is cut to so many characters in a log line.
-_MOST_TOLD = 120
+_MAX_LOGGED_CHARS = 120
 _REASONS = MappingProxyType(
     {
         200: 'OK',
@@ -59,42 +64,42 @@
     },
 )
 # Refusals that a newer configuration might not have given.
-_UNPLACED = frozenset((Code.UNKNOWN_TARGET.value, Code.KEY_UNKNOWN.value))
+_UNPLACED_CODES = frozenset((Code.UNKNOWN_TARGET.value, Code.KEY_UNKNOWN.value))
 
 
-class Admit(Protocol):
+class AdmissionCheck(Protocol):
     """Decide whether a call is taken now."""
 
     def __call__(self, call: DirectCall) -> Urgency | Ending:
         """Give how urgent the call is, or why it is not taken."""
 
 
-class Front(HTTPServerConnectionDelegate):
+class Frontend(HTTPServerConnectionDelegate):
     """Accept callers' connections and run their calls."""
 
     def __init__(
         self,
-        book: Callable[[], RouteBook],
+        route_table: Callable[[], RouteTable],
         dispatcher: DirectDispatcher,
         dialect: Dialect,
-        admit: Admit,
+        admit: AdmissionCheck,
         rng: Random,
         metrics: Metrics,
-        grounds: Callable[[], Grounds] = Grounds,
+        config_basis: Callable[[], ConfigBasis] = ConfigBasis,
     ) -> None:
         """Serve by whatever configuration is in force when a call comes."""
-        self.book = book
+        self.route_table = route_table
         self.dispatcher = dispatcher
         self.dialect = dialect
         self.admit = admit
         self.rng = rng
         self.metrics = metrics
-        self.grounds = grounds
+        self.config_basis = config_basis
         self.stopping = False
         # Calls that come from now on may not finish before the process ends.
         self.leaving = False
-        self.under_way = 0
-        self.waiting: dict[object, _Request] = {}
+        self.active_calls = 0
+        self.unused_connections: dict[object, _Request] = {}
 
     def start_request(
         self,
@@ -103,17 +108,17 @@
     ) -> HTTPMessageDelegate:
         """Begin to read one request."""
         req = _Request(self, server_conn, request_conn)
-        self.waiting[server_conn] = req
+        self.unused_connections[server_conn] = req
         return req
 
     def close_idle(self) -> None:
         """Close the connections on which no request has begun."""
-        for req in list(self.waiting.values()):
+        for req in list(self.unused_connections.values()):
             req.close()
 
     def on_close(self, server_conn: object) -> None:
         """Forget a connection that closed while no request was read on it."""
-        self.waiting.pop(server_conn, None)
+        self.unused_connections.pop(server_conn, None)
 
 
 class _Request(HTTPMessageDelegate):
@@ -121,18 +126,18 @@
 
     def __init__(
         self,
-        front: Front,
+        frontend: Frontend,
         server_conn: object,
         conn: HTTPConnection,
     ) -> None:
-        self._front = front
+        self._frontend = frontend
         self._server_conn = server_conn
         self._conn = conn
         self._line: RequestStartLine | None = None
         self._headers: Headers = []
         self._pieces: list[bytes] = []
         self._task: asyncio.Task[None] | None = None
-        self._arrived = float()
+        self._arrived_at = float()
         self._call_id = ''
 
     def headers_received(
@@ -141,11 +146,11 @@
         headers: HTTPHeaders,
     ) -> None:
         """Keep the head."""
-        self._front.waiting.pop(self._server_conn, None)
+        self._frontend.unused_connections.pop(self._server_conn, None)
         assert isinstance(start_line, RequestStartLine)
         self._line = start_line
         self._headers = list(headers.get_all())
-        self._arrived = asyncio.get_running_loop().time()
+        self._arrived_at = asyncio.get_running_loop().time()
 
     def data_received(self, chunk: bytes) -> None:
         """Keep a piece of the body."""
@@ -156,7 +161,7 @@
         if _http1(self._conn).stream.closed():
             # It crossed our close: nobody would hear the answer.
             return
-        self._front.under_way += 1
+        self._frontend.active_calls += 1
         self._task = asyncio.create_task(self._run())
         # Without this the library tells of a departure only while it reads.
         _http1(self._conn).set_close_callback(self.on_connection_close)
@@ -171,15 +176,15 @@
         _http1(self._conn).stream.close()
 
     async def _run(self) -> None:
-        writer = AnswerWriter(self._conn, self._front)
+        writer = AnswerWriter(self._conn, self._frontend)
         try:
             ending = await self._answer(writer)
         except asyncio.CancelledError:
             log(Event.CALL_CUT, call=self._call_id, code='caller-gone')
             return
         finally:
-            self._front.under_way -= 1
-        metrics = self._front.metrics
+            self._frontend.active_calls -= 1
+        metrics = self._frontend.metrics
         if ending.outcome is Outcome.ANSWERED:
             metrics.count(Metric.CALLS_ANSWERED)
             return
@@ -191,14 +196,14 @@
             refuse(writer, ending)
 
     async def _answer(self, writer: 'AnswerWriter') -> Ending:
-        if self._front.leaving:
+        if self._frontend.leaving:
             # It came on a connection that an answer begun before had kept.
-            return not_run(Code.STOPPING, '', _ELSEWHERE_MS)
+            return not_run(Code.STOPPING, '', _RETRY_ELSEWHERE_MS)
         call = self._read()
         if isinstance(call, Ending):
             return call
         self._call_id = call.head.call_id
-        admitted = self._front.admit(call)
+        admitted = self._frontend.admit(call)
         if isinstance(admitted, Ending):
             log(
                 Event.CALL_REFUSED,
@@ -210,7 +215,7 @@
                 retry_after_ms=admitted.retry_after_ms,
             )
             return admitted
-        ending = await self._front.dispatcher.run(call, writer, admitted)
+        ending = await self._frontend.dispatcher.run(call, writer, admitted)
         if ending.outcome is not Outcome.ANSWERED:
             log(
                 Event.CALL_NOT_RUN
@@ -225,42 +230,44 @@
         return ending
 
     def _read(self) -> DirectCall | Ending:
-        line = self._line
-        if line is None:
+        start_line = self._line
+        if start_line is None:
             return not_run(Code.BAD_REQUEST, 'no request line')
-        front = self._front
-        arrival = Arrival(
-            line.method,
-            line.path,
+        frontend = self._frontend
+        incoming = IncomingRequest(
+            start_line.method,
+            start_line.path,
             self._headers,
             b''.join(self._pieces),
-            self._arrived,
-            front.grounds(),
+            self._arrived_at,
+            frontend.config_basis(),
+        )
+        call = read_call(
+            incoming, frontend.route_table(), frontend.dialect, frontend.rng
         )
-        call = read_call(arrival, front.book(), front.dialect, front.rng)
-        if isinstance(call, Ending) and call.code in _UNPLACED:
-            return _unplaced(arrival, call, front)
+        if isinstance(call, Ending) and call.code in _UNPLACED_CODES:
+            return _refuse_unplaced(incoming, call, frontend)
         return call
 
 
 class AnswerWriter:
     """Write one answer on a caller's connection."""
 
-    def __init__(self, conn: HTTPConnection, front: Front) -> None:
+    def __init__(self, conn: HTTPConnection, frontend: Frontend) -> None:
         """Begin with nothing written."""
         self.begun = False
         self._conn = conn
-        self._front = front
+        self._frontend = frontend
 
     def begin(self, status: int, headers: Headers) -> None:
         """Write the head of an answer that comes in pieces."""
         self._head(status, headers, None, b'')
 
-    def piece(self, piece: bytes) -> None:
+    def send_piece(self, piece: bytes) -> None:
         """Write a piece; a caller that reads slowly is not waited for."""
-        _forget(self._conn.write(piece))
+        _ignore_failed_write(self._conn.write(piece))
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a whole answer."""
         self._head(status, headers, len(body), body)
         self._conn.finish()
@@ -286,14 +293,16 @@
             fields.add(name, text)
         if length is not None:
             fields['Content-Length'] = str(length)
-        if self._front.stopping:
+        if self._frontend.stopping:
             fields['Connection'] = 'close'
-        line = ResponseStartLine(
+        start_line = ResponseStartLine(
             'HTTP/1.1',
             status,
             _REASONS.get(status, 'Answer'),
         )
-        _forget(self._conn.write_headers(line, fields, body or None))
+        _ignore_failed_write(
+            self._conn.write_headers(start_line, fields, body or None)
+        )
 
 
 def _http1(conn: HTTPConnection) -> HTTP1Connection:
@@ -301,20 +310,22 @@
     return conn
 
 
-def _unplaced(arrival: Arrival, ending: Ending, front: Front) -> Ending:
+def _refuse_unplaced(
+    incoming: IncomingRequest, ending: Ending, frontend: Frontend
+) -> Ending:
     """Refuse for good, or for now where the belief is old."""
-    head = front.dialect.read(arrival.headers)
-    why = _why_unplaced(ending, head)
-    if not arrival.grounds.old:
-        _tell_unplaced(Event.CALL_UNPLACED, arrival, head, code=why)
+    head = frontend.dialect.read(incoming.headers)
+    reason = _unplaced_reason(ending, head)
+    if not incoming.config_basis.is_stale:
+        _log_unplaced(Event.CALL_UNPLACED, incoming, head, code=reason)
         return ending
     now = asyncio.get_running_loop().time()
-    left_s = arrival.at + held_s(head) - now
-    after_s = LastPart(front.rng).after_s(left_s, now)
-    later = not_run(Code.BELIEF_OLD, why, int(after_s * _MILLISECONDS))
-    _tell_unplaced(
+    remaining_s = incoming.arrived_at + wait_limit_s(head) - now
+    after_s = LastPart(frontend.rng).after_s(remaining_s, now)
+    later = not_run(Code.BELIEF_OLD, reason, int(after_s * _MILLISECONDS))
+    _log_unplaced(
         Event.CALL_REFUSED,
-        arrival,
+        incoming,
         head,
         code=later.code,
         detail=later.detail,
@@ -323,29 +334,29 @@
     return later
 
 
-def _why_unplaced(ending: Ending, head: CallHead) -> str:
+def _unplaced_reason(ending: Ending, head: CallHead) -> str:
     if ending.code == Code.UNKNOWN_TARGET.value:
         return 'no-route'
     return 'unknown-key' if head.key else 'no-key'
 
 
-def _tell_unplaced(
+def _log_unplaced(
     event: Event,
-    arrival: Arrival,
+    incoming: IncomingRequest,
     head: CallHead,
     **verdict: object,
 ) -> None:
-    grounds = arrival.grounds
+    config_basis = incoming.config_basis
     log(
         event,
-        call=head.call_id[:_MOST_TOLD],
-        host=asked_host(arrival.headers)[:_MOST_TOLD],
+        call=head.call_id[:_MAX_LOGGED_CHARS],
+        host=requested_host(incoming.headers)[:_MAX_LOGGED_CHARS],
         # A query may hold what is nobody else's business.
-        path=arrival.target.partition('?')[0][:_MOST_TOLD],
-        config_version=grounds.version,
-        config_revision=grounds.revision,
-        config_age_ms=grounds.config_age_ms,
-        store_age_ms=grounds.store_age_ms,
+        path=incoming.target.partition('?')[0][:_MAX_LOGGED_CHARS],
+        config_version=config_basis.version,
+        config_revision=config_basis.revision,
+        config_age_ms=config_basis.config_age_ms,
+        store_age_ms=config_basis.store_age_ms,
         **verdict,
     )
 
@@ -361,20 +372,20 @@
     if status == _UNAVAILABLE:
         seconds = ending.retry_after_ms / _MILLISECONDS
         headers.append(('Retry-After', f'{seconds:.3f}'))
-    writer.whole(status, headers, ending.code.encode())
+    writer.send_whole(status, headers, ending.code.encode())
 
 
-class FrontServer(HTTPServer):
+class FrontendServer(HTTPServer):
     """Tell the front of closed connections, and bound what callers send."""
 
     def on_close(self, server_conn: object) -> None:
         """Hear of a connection that closed; the library keeps quiet of it."""
         super().on_close(server_conn)
         callback = self.request_callback
-        if isinstance(callback, Front):
+        if isinstance(callback, Frontend):
             callback.on_close(server_conn)
 
-    def bound(self, limits: CallLimits) -> None:
+    def set_limits(self, limits: CallLimits) -> None:
         """Put other limits in force.
 
         The call that an open connection waits for is read by the old ones.
@@ -383,30 +394,30 @@
         of_conn.max_header_size = limits.header_bytes
         of_conn.max_body_size = limits.body_bytes
         of_conn.header_timeout = limits.idle_s
-        of_conn.body_timeout = _body_s(limits)
+        of_conn.body_timeout = _body_timeout_s(limits)
 
 
-def open_server(front: Front, limits: CallLimits) -> FrontServer:
+def open_server(frontend: Frontend, limits: CallLimits) -> FrontendServer:
     """Give the HTTP server for a front, bounded by the configuration."""
-    return FrontServer(
-        front,
+    return FrontendServer(
+        frontend,
         max_header_size=limits.header_bytes,
         max_body_size=limits.body_bytes,
         idle_connection_timeout=limits.idle_s,
-        body_timeout=_body_s(limits),
+        body_timeout=_body_timeout_s(limits),
     )
 
 
-def _body_s(limits: CallLimits) -> float:
+def _body_timeout_s(limits: CallLimits) -> float:
     # The configuration states a time for the head alone; a body has twice that.
     return limits.header_s * 2
 
 
-def _forget(fut: 'asyncio.Future[None]') -> None:
-    fut.add_done_callback(_ignore_closed)
+def _ignore_failed_write(fut: 'asyncio.Future[None]') -> None:
+    fut.add_done_callback(_log_failed_write)
 
 
-def _ignore_closed(fut: 'asyncio.Future[None]') -> None:
+def _log_failed_write(fut: 'asyncio.Future[None]') -> None:
     if not fut.cancelled() and not isinstance(
         fut.exception(),
         StreamClosedError | None,
--- a/src/linnetwood/calls/greetings.py
+++ b/src/linnetwood/calls/greetings.py
@@ -8,7 +8,7 @@
 from linnetwood.calls.candidates import Candidates, draw
 from linnetwood.calls.directory import Directory
 from linnetwood.calls.engine import EngineFigures
-from linnetwood.calls.routebook import Origin, RouteBook
+from linnetwood.calls.routetable import Origin, RouteTable
 from linnetwood.fleet.listeners import report_every_s
 from linnetwood.fleet.news import Address, NewsPort
 from linnetwood.fleet.peerlist import PeerTeller, Places
@@ -75,40 +75,42 @@
             for around in self._around.values()
         )
 
-    def changed(self, book: RouteBook) -> bool:
+    def changed(self, route_table: RouteTable) -> bool:
         """Tell whether there is news since this was asked last.
 
         Most changes of the list are of load and warmth, and no news here.
         """
-        self._look_around(book)
+        self._look_around(route_table)
         digests = {name: one.digest for name, one in self._around.items()}
-        told = _Told(digests, self._wanted.known(), book.origin)
+        told = _Told(digests, self._wanted.known(), route_table.origin)
         before = self._told
         self._told = told
         return told != before
 
     def tell(
         self,
-        book: RouteBook,
+        route_table: RouteTable,
         now: float,
         news: NewsPort,
         port: int,
     ) -> None:
         """Greet those heard of each service that has engines."""
-        self._look_around(book)
+        self._look_around(route_table)
         self._number += 1
         for service, around in self._around.items():
-            engine = book.services[service].engine
+            engine = route_table.services[service].engine
             if engine is not None:
-                greeting = self._greeting(service, engine, book.origin, now)
+                greeting = self._greeting(
+                    service, engine, route_table.origin, now
+                )
                 self._send(greeting, around, news, port)
 
-    def _look_around(self, book: RouteBook) -> None:
+    def _look_around(self, route_table: RouteTable) -> None:
         """Draw anew whom to hear where engines have come or gone."""
         known = self._around
         self._around = {
             service.name: around
-            for service in book.services.values()
+            for service in route_table.services.values()
             if service.engine is not None
             and (around := self._around_of(service.name, known)) is not None
         }
--- a/src/linnetwood/calls/limits.py
+++ b/src/linnetwood/calls/limits.py
@@ -21,7 +21,7 @@
 
 from linnetwood.calls.directory import Listed
 from linnetwood.calls.notices import Notices
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.routetable import Service
 from linnetwood.calls.standing import Standing
 from linnetwood.calls.turns import Turns
 from linnetwood.fleet.listeners import UNHEARD_SHARE
--- a/src/linnetwood/calls/policy/firsttries.py
+++ b/src/linnetwood/calls/policy/firstattempts.py
@@ -14,24 +14,24 @@
 from typing import Final, Protocol
 
 # Who is refused waits for a fifth of the time that it has, or longer.
-_SPENT_SHARE = 0.1
+_MIN_SPENT_SHARE = 0.1
 # A route's callers may change what they wait; the longest is forgotten after
 # one to two spans of this.
-_SPAN_S = 30.0
+_FORGET_AFTER_S = 30.0
 # Routes whose callers are known; others count as first tries.
-_MOST_ROUTES = 4096
+_MAX_ROUTES = 4096
 # Whoever was refused is back or gone after this, by the time that callers have.
-_QUIET_S = 5.0
+_QUIET_AFTER_REFUSAL_S = 5.0
 # Of so many calls at least, no more than this share may say less: some come
 # back because an endpoint failed.
-_QUIET_CALLS = 20
-_QUIET_SHARE = 0.05
+_MIN_COUNTED_CALLS = 20
+_MAX_SHORT_SHARE = 0.05
 # Beyond so many, what was counted is halved: callers may change.
-_QUIET_MOST = 400
+_MAX_COUNTED_CALLS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Said:
+class CallTraits:
     """What a caller says that it waits, of its route and the route's target."""
 
     route: str
@@ -39,20 +39,20 @@
     target_s: float
 
 
-class FirstTries(Protocol):
+class FirstAttemptDetector(Protocol):
     """Tell first tries from others by what a caller says that it waits."""
 
-    def is_first(self, said: Said, now: float) -> bool:
+    def is_first(self, traits: CallTraits, now: float) -> bool:
         """Tell whether a caller of a route comes for the first time."""
 
     def refused(self, now: float) -> None:
         """Note that somebody was sent away and will come back."""
 
 
-class AllAlike:
+class AlwaysFirst:
     """Count every call as a first try."""
 
-    def is_first(self, said: Said, now: float) -> bool:
+    def is_first(self, traits: CallTraits, now: float) -> bool:
         """Take it for one."""
         return True
 
@@ -60,7 +60,7 @@
         """Note nothing."""
 
 
-class ByPatience:
+class ByRemainingWait:
     """Count a call as a first try if its caller waits about the longest.
 
     While an entry refuses nobody, hardly anybody comes back: whoever says less
@@ -68,63 +68,65 @@
     """
 
     __slots__ = (
-        '_before',
+        '_previous_longest',
         '_longest',
-        '_quiet_calls',
-        '_quiet_short',
+        '_counted_calls',
+        '_counted_short',
         '_refused_at',
-        '_turned_at',
+        '_rotated_at',
     )
 
     def __init__(self) -> None:
         """Know no callers."""
         self._longest: dict[str, float] = {}
-        self._before: dict[str, float] = {}
-        self._turned_at = float()
-        self._refused_at = -_QUIET_S
-        self._quiet_calls = 0
-        self._quiet_short = 0
+        self._previous_longest: dict[str, float] = {}
+        self._rotated_at = float()
+        self._refused_at = -_QUIET_AFTER_REFUSAL_S
+        self._counted_calls = 0
+        self._counted_short = 0
 
     @property
-    def fits(self) -> bool:
+    def is_reliable(self) -> bool:
         """Tell whether callers were seen to have the same time."""
-        if self._quiet_calls < _QUIET_CALLS:
+        if self._counted_calls < _MIN_COUNTED_CALLS:
             return False
-        return self._quiet_short <= _QUIET_SHARE * self._quiet_calls
+        return self._counted_short <= _MAX_SHORT_SHARE * self._counted_calls
 
-    def is_first(self, said: Said, now: float) -> bool:
+    def is_first(self, traits: CallTraits, now: float) -> bool:
         """Tell whether a caller of a route comes for the first time."""
-        if said.wait_s is None:
+        if traits.wait_s is None:
             return True
-        longest_s = self._longest_of(said.route, said.wait_s, now)
-        least_s = max(said.target_s, _SPENT_SHARE * longest_s)
-        is_short = longest_s - said.wait_s > least_s
-        if now - self._refused_at >= _QUIET_S:
+        longest_s = self._longest_of(traits.route, traits.wait_s, now)
+        min_difference_s = max(traits.target_s, _MIN_SPENT_SHARE * longest_s)
+        is_short = longest_s - traits.wait_s > min_difference_s
+        if now - self._refused_at >= _QUIET_AFTER_REFUSAL_S:
             self._count(is_short)
-        return not (is_short and self.fits)
+        return not (is_short and self.is_reliable)
 
     def refused(self, now: float) -> None:
         """Note that somebody was sent away and will come back."""
         self._refused_at = now
 
     def _longest_of(self, route: str, wait_s: float, now: float) -> float:
-        if now - self._turned_at >= _SPAN_S:
-            self._before = self._longest
+        if now - self._rotated_at >= _FORGET_AFTER_S:
+            self._previous_longest = self._longest
             self._longest = {}
-            self._turned_at = now
+            self._rotated_at = now
         longest = max(wait_s, self._longest.get(route, 0))
-        if route in self._longest or len(self._longest) < _MOST_ROUTES:
+        if route in self._longest or len(self._longest) < _MAX_ROUTES:
             self._longest[route] = longest
-        return max(longest, self._before.get(route, 0))
+        return max(longest, self._previous_longest.get(route, 0))
 
     def _count(self, is_short: bool) -> None:
-        if self._quiet_calls >= _QUIET_MOST:
-            self._quiet_calls //= 2
-            self._quiet_short //= 2
-        self._quiet_calls += 1
-        self._quiet_short += is_short
+        if self._counted_calls >= _MAX_COUNTED_CALLS:
+            self._counted_calls //= 2
+            self._counted_short //= 2
+        self._counted_calls += 1
+        self._counted_short += is_short
 
 
-FIRST_TRIES: Final = MappingProxyType[str, Callable[[], FirstTries]](
-    {'all-alike': AllAlike, 'by-patience': ByPatience},
+FIRST_ATTEMPT_DETECTORS: Final = MappingProxyType[
+    str, Callable[[], FirstAttemptDetector]
+](
+    {'all-alike': AlwaysFirst, 'by-patience': ByRemainingWait},
 )
--- a/src/linnetwood/calls/policy/returns.py
+++ b/src/linnetwood/calls/policy/retryafter.py
@@ -15,24 +15,24 @@
 
 # Callers wait for at most this share of the time that they have left (the
 # users' pages).
-_WAITED_SHARE = 1 / 3
-_LEAST_S = 0.15
+_MAX_WAIT_SHARE = 1 / 3
+_MIN_RETRY_AFTER_S = 0.15
 # They come back over the last part of it.
-_EARLIEST_SHARE = 0.6
+_WINDOW_START_SHARE = 0.6
 # Or not before this share of all their time: by what is left they are told from
 # those who come first.
-_SOONEST_SHARE = 0.12
+_MIN_WAIT_SHARE = 0.12
 # Refusals and admissions are counted over so long.
-_COUNTED_S = 1.0
+_RATE_WINDOW_S = 1.0
 
 
-class Returns(Protocol):
+class RetryAfterPolicy(Protocol):
     """Say when to come back, by what this entry saw."""
 
     def admitted(self, now: float) -> None:
         """Note a call that was taken."""
 
-    def after_s(self, left_s: float, now: float) -> float:
+    def after_s(self, remaining_s: float, now: float) -> float:
         """Refuse a caller with so much time left; give when it returns."""
 
 
@@ -50,10 +50,10 @@
     def admitted(self, now: float) -> None:
         """Note nothing."""
 
-    def after_s(self, left_s: float, now: float) -> float:
+    def after_s(self, remaining_s: float, now: float) -> float:
         """Give a time in the last part."""
-        share = self._rng.uniform(_EARLIEST_SHARE, 1)
-        return max(_LEAST_S, left_s * _WAITED_SHARE * share)
+        share = self._rng.uniform(_WINDOW_START_SHARE, 1)
+        return max(_MIN_RETRY_AFTER_S, remaining_s * _MAX_WAIT_SHARE * share)
 
 
 class SizedWindow:
@@ -71,25 +71,27 @@
     def admitted(self, now: float) -> None:
         """Note a call that was taken."""
         self._admitted.append(now)
-        _expire(self._admitted, now)
+        _drop_expired(self._admitted, now)
 
-    def after_s(self, left_s: float, now: float) -> float:
+    def after_s(self, remaining_s: float, now: float) -> float:
         """Give a time in a window as long as the refused need to be taken."""
         self._refused.append(now)
-        _expire(self._refused, now)
-        _expire(self._admitted, now)
-        least_s = max(_LEAST_S, left_s * _SOONEST_SHARE)
-        most_s = max(_LEAST_S, left_s * _WAITED_SHARE)
-        borne = max(1, len(self._admitted)) / _COUNTED_S
-        window_s = least_s + len(self._refused) / borne
-        return self._rng.uniform(least_s, min(most_s, window_s))
-
-
-RETURNS: Final = MappingProxyType[str, Callable[[Random], Returns]](
+        _drop_expired(self._refused, now)
+        _drop_expired(self._admitted, now)
+        min_s = max(_MIN_RETRY_AFTER_S, remaining_s * _MIN_WAIT_SHARE)
+        max_s = max(_MIN_RETRY_AFTER_S, remaining_s * _MAX_WAIT_SHARE)
+        admitted_per_s = max(1, len(self._admitted)) / _RATE_WINDOW_S
+        window_s = min_s + len(self._refused) / admitted_per_s
+        return self._rng.uniform(min_s, min(max_s, window_s))
+
+
+RETRY_AFTER_POLICIES: Final = MappingProxyType[
+    str, Callable[[Random], RetryAfterPolicy]
+](
     {'last-part': LastPart, 'sized-window': SizedWindow},
 )
 
 
-def _expire(times: collections.deque[float], now: float) -> None:
-    while times and now - times[0] > _COUNTED_S:
+def _drop_expired(times: collections.deque[float], now: float) -> None:
+    while times and now - times[0] > _RATE_WINDOW_S:
         times.popleft()
--- a/src/linnetwood/calls/policy/returnroom.py
+++ b/src/linnetwood/calls/policy/retrycapacity.py
@@ -18,30 +18,30 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class SlotUsage:
     """What is taken of the slots of the engine that a call would go to."""
 
-    taken: float
+    used: float
     slots: int
 
 
-class ReturnRoom(Protocol):
+class RetryCapacity(Protocol):
     """Tell whether callers who come back may have a place."""
 
-    def __call__(self, place: Place) -> bool:
+    def __call__(self, usage: SlotUsage) -> bool:
         """Tell it by what is taken there."""
 
 
-def as_first(place: Place) -> bool:
+def same_as_first(usage: SlotUsage) -> bool:
     """Let them have what first tries may have."""
-    return place.slots > 0
+    return usage.slots > 0
 
 
-def reserve(place: Place) -> bool:
+def keep_reserve(usage: SlotUsage) -> bool:
     """Keep a part of the slots for first tries."""
-    return place.taken < place.slots * (1 - _RESERVE_SHARE)
+    return usage.used < usage.slots * (1 - _RESERVE_SHARE)
 
 
-RETURN_ROOM: Final[MappingProxyType[str, ReturnRoom]] = MappingProxyType(
-    {'as-first': as_first, 'reserve': reserve},
+RETRY_CAPACITY: Final[MappingProxyType[str, RetryCapacity]] = MappingProxyType(
+    {'as-first': same_as_first, 'reserve': keep_reserve},
 )
--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -5,12 +5,12 @@
 import math
 from collections.abc import Callable
 
-from linnetwood.calls.accounts import tell_notice
+from linnetwood.calls.attemptlog import log_notice
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.entrycount import EntryCount
 from linnetwood.calls.greetings import Greetings
-from linnetwood.calls.routebook import RouteBook
+from linnetwood.calls.routetable import RouteTable
 from linnetwood.calls.lives import take_report
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.standing import Report
@@ -56,7 +56,7 @@
         tellers: Tellers,
     ) -> None:
         """Tell nothing yet; all endpoint processes listen on one port."""
-        self.book = RouteBook()
+        self.route_table = RouteTable()
         self.greetings = Greetings(
             tellers.me,
             zone,
@@ -150,13 +150,16 @@
             report,
         )
         if fresh is not None:
-            tell_notice(fresh, self._chooser.notices.of(fresh.life))
+            log_notice(fresh, self._chooser.notices.of(fresh.life))
 
     async def _run(self) -> None:
         while True:
             self._wake.clear()
             now = self._clock.now()
-            if self.greetings.changed(self.book) or self._hello_at <= now:
+            if (
+                self.greetings.changed(self.route_table)
+                or self._hello_at <= now
+            ):
                 self._hello_at = now + HELLO_EVERY_S
                 self._tell()
             self._chooser.forget(now)
@@ -166,7 +169,7 @@
 
     def _tell(self) -> None:
         now = self._clock.now()
-        self.greetings.tell(self.book, now, self._news, self._port)
+        self.greetings.tell(self.route_table, now, self._news, self._port)
         if self._count.settle(now):
             self._counted()
 
--- a/src/linnetwood/calls/retries.py
+++ b/src/linnetwood/calls/retries.py
@@ -2,8 +2,8 @@
 
 from linnetwood.core.outcomes import Code, Ending, Outcome
 
-SHARE = 0.1
-_RESERVE = 10.0
+RETRY_SHARE = 0.1
+_RESERVE_RETRIES = 10.0
 MAX_ATTEMPTS = 3
 _FINAL_CODES = frozenset(
     code.value for code in (Code.KEY_MALFORMED, Code.LATE, Code.BAD_REQUEST)
@@ -22,13 +22,15 @@
 class RetryBudget:
     """Allow retries as a share of first attempts, with a small reserve."""
 
-    def __init__(self, share: float = SHARE, reserve: float = _RESERVE) -> None:
+    def __init__(
+        self, share: float = RETRY_SHARE, reserve: float = _RESERVE_RETRIES
+    ) -> None:
         """Start with the whole reserve."""
         self._share = share
         self._reserve = reserve
         self._tokens = reserve
 
-    def bound(self, share: float, reserve: float) -> None:
+    def set_limits(self, share: float, reserve: float) -> None:
         """Follow new bounds; what was saved beyond them is lost."""
         self._share = share
         self._reserve = reserve
--- a/src/linnetwood/calls/routebook.py
+++ b/src/linnetwood/calls/routetable.py
@@ -89,7 +89,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RouteBook:
+class RouteTable:
     """One configuration of routes, services, limits and keys."""
 
     revision: int = 0
@@ -115,18 +115,18 @@
         return (self.organisations or {}).get(key)
 
 
-def shelve(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
+def index_by_host(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
     """Order routes by host, the longest prefixes first."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host.lower(), []).append(route)
     return {
-        host: tuple(sorted(found, key=_shortness))
-        for host, found in by_host.items()
+        host: tuple(sorted(host_routes, key=_longest_prefix_first))
+        for host, host_routes in by_host.items()
     }
 
 
-def _shortness(route: Route) -> int:
+def _longest_prefix_first(route: Route) -> int:
     return -len(route.prefix)
 
 
--- a/src/linnetwood/calls/patience.py
+++ b/src/linnetwood/calls/silencetimeouts.py
@@ -10,40 +10,40 @@
 
 import dataclasses
 
-from linnetwood.calls.routebook import Route
+from linnetwood.calls.routetable import Route
 
 # A caller leaves after the longest of these silences (the users' pages).
-_CALLER_LEAST_S = 2.0
-_CALLER_TARGETS = 4
-_CALLER_GAPS = 8
+_CALLER_MIN_TIMEOUT_S = 2.0
+_CALLER_TIMEOUT_TARGETS = 4
+_CALLER_TIMEOUT_GAPS = 8
 # Half of that leaves another endpoint as long as the first one had.
-_FIRST_SHARE = 0.5
+_FIRST_EVENT_SHARE = 0.5
 # Of one that was known to wait, all but what a refusal takes to arrive.
-_LATE_SHARE = 0.9
+_LATE_FIRST_EVENT_SHARE = 0.9
 # Between two events an endpoint is given up after so many of the longest pauses
 # that keep an answer in time: it fell silent, since queues come before.
-_NEXT_GAPS = 2.5
-_NEXT_LEAST_S = 0.5
+_NEXT_EVENT_GAPS = 2.5
+_NEXT_EVENT_MIN_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Silence:
+class SilenceTimeouts:
     """The silences after which a stream is sent elsewhere, in seconds."""
 
-    first_s: float
-    late_first_s: float
-    next_s: float
+    first_event_s: float
+    late_first_event_s: float
+    next_event_s: float
 
     @classmethod
-    def of(cls, route: Route) -> 'Silence':
+    def for_route(cls, route: Route) -> 'SilenceTimeouts':
         """Work them out for a route."""
-        caller_s = max(
-            _CALLER_LEAST_S,
-            _CALLER_TARGETS * route.target_s,
-            _CALLER_GAPS * route.gap_s,
+        caller_timeout_s = max(
+            _CALLER_MIN_TIMEOUT_S,
+            _CALLER_TIMEOUT_TARGETS * route.target_s,
+            _CALLER_TIMEOUT_GAPS * route.gap_s,
         )
         return cls(
-            caller_s * _FIRST_SHARE,
-            caller_s * _LATE_SHARE,
-            max(_NEXT_LEAST_S, route.gap_s * _NEXT_GAPS),
+            caller_timeout_s * _FIRST_EVENT_SHARE,
+            caller_timeout_s * _LATE_FIRST_EVENT_SHARE,
+            max(_NEXT_EVENT_MIN_S, route.gap_s * _NEXT_EVENT_GAPS),
         )
--- a/src/linnetwood/lab/callsteps.py
+++ b/src/linnetwood/lab/callsteps.py
@@ -24,7 +24,7 @@
         (
             '/linnetwood/core/logsink',
             '/linnetwood/core/events',
-            '/linnetwood/calls/accounts',
+            '/linnetwood/calls/attemptlog',
             '/pythonjsonlogger/',
             '/logging/',
             '/json/',
@@ -34,8 +34,8 @@
     (
         'read and answer callers',
         (
-            '/linnetwood/calls/front',
-            '/linnetwood/calls/reading',
+            '/linnetwood/calls/frontend',
+            '/linnetwood/calls/callparsing',
             '/linnetwood/platform/dialect',
             '/tornado/',
         ),
@@ -43,7 +43,7 @@
     (
         'choose',
         (
-            '/linnetwood/calls/entrance',
+            '/linnetwood/calls/deadlineadmission',
             '/linnetwood/calls/choice',
             '/linnetwood/calls/candidates',
             '/linnetwood/calls/standing',
--- a/src/linnetwood/lab/policy.py
+++ b/src/linnetwood/lab/policy.py
@@ -21,11 +21,18 @@
 from linnetwood.calls.choice import Choice, Chooser, Need
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.engine import EngineFigures
-from linnetwood.calls.policy.firsttries import FIRST_TRIES, FirstTries, Said
+from linnetwood.calls.policy.firstattempts import (
+    FIRST_ATTEMPT_DETECTORS,
+    CallTraits,
+    FirstAttemptDetector,
+)
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
-from linnetwood.calls.policy.returnroom import RETURN_ROOM, Place
-from linnetwood.calls.policy.returns import RETURNS, Returns
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.policy.retryafter import (
+    RETRY_AFTER_POLICIES,
+    RetryAfterPolicy,
+)
+from linnetwood.calls.policy.retrycapacity import RETRY_CAPACITY, SlotUsage
+from linnetwood.calls.routetable import Service
 from linnetwood.calls.standing import Report, Standing
 from linnetwood.core.options import Decisions
 from linnetwood.fleet.members import place_hash
@@ -206,8 +213,8 @@
             host: [] for host in self._places
         }
         self._lateness: dict[Chooser, Lateness] = {}
-        self._returns: dict[Chooser, Returns] = {}
-        self._first_tries: dict[Chooser, FirstTries] = {}
+        self._retry_after: dict[Chooser, RetryAfterPolicy] = {}
+        self._first_attempts: dict[Chooser, FirstAttemptDetector] = {}
         self._entries = [
             self._entry(f'a{number}', f'z{number % fleet.zones}', directory)
             for number in range(fleet.entries)
@@ -238,8 +245,12 @@
             self._hearers[host].append(chooser)
         ways = self._fleet.decisions
         self._lateness[chooser] = MeanLateness()
-        self._returns[chooser] = RETURNS[ways.returns](Random(me))
-        self._first_tries[chooser] = FIRST_TRIES[ways.first_tries]()
+        self._retry_after[chooser] = RETRY_AFTER_POLICIES[ways.returns](
+            Random(me)
+        )
+        self._first_attempts[chooser] = FIRST_ATTEMPT_DETECTORS[
+            ways.first_tries
+        ]()
         return chooser, zone
 
     def _run(self, until: float) -> None:
@@ -280,13 +291,13 @@
         )
         choice = chooser.choose(need, (), self._now)
         wait_s = came_at + self._fleet.patience_s - self._now
-        said = Said(str(kind.prompt), wait_s, kind.target_s)
-        first = self._first_tries[chooser].is_first(said, self._now)
+        traits = CallTraits(str(kind.prompt), wait_s, kind.target_s)
+        first = self._first_attempts[chooser].is_first(traits, self._now)
         if choice is not None and not first:
-            choice = self._left_for_returns(chooser, choice)
+            choice = self._within_retry_capacity(chooser, choice)
         urgent = choice is not None and choice.wait_s <= need.enough_s
         if urgent:
-            self._returns[chooser].admitted(self._now)
+            self._retry_after[chooser].admitted(self._now)
         if choice is None or not (urgent or self._has_room(chooser, choice)):
             self._refuse(kind, came_at, chooser, again=again)
             return
@@ -294,15 +305,15 @@
         call.asked_at = self._now
         self._send(choice.endpoint.endpoint, call)
 
-    def _left_for_returns(
+    def _within_retry_capacity(
         self,
         chooser: Chooser,
         choice: Choice,
     ) -> Choice | None:
         standing = chooser.standing(choice.endpoint.life)
         taken = sum(standing.work(self._now))
-        room = RETURN_ROOM[self._fleet.decisions.return_room]
-        return choice if room(Place(taken, self._figures.slots)) else None
+        room = RETRY_CAPACITY[self._fleet.decisions.return_room]
+        return choice if room(SlotUsage(taken, self._figures.slots)) else None
 
     def _has_room(self, chooser: Chooser, choice: Choice) -> bool:
         if not self._fleet.patience_s:
@@ -321,10 +332,10 @@
     ) -> None:
         self.outcome.refused += not again
         self.outcome.lost += again
-        self._first_tries[chooser].refused(self._now)
+        self._first_attempts[chooser].refused(self._now)
         if self._fleet.patience_s and not again:
             left_s = came_at + self._fleet.patience_s - self._now
-            after_s = self._returns[chooser].after_s(left_s, self._now)
+            after_s = self._retry_after[chooser].after_s(left_s, self._now)
             back = functools.partial(self._ask, again=True)
             self._at(self._now + after_s, back, kind, came_at)
 
--- a/src/linnetwood/platform/dialect.py
+++ b/src/linnetwood/platform/dialect.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 from typing import Final
 
-from linnetwood.calls.dialect import CallHead, Errand, Urgency, Verdict
+from linnetwood.calls.dialect import CallHead, OutgoingCall, Urgency, Verdict
 from linnetwood.calls.notices import Notice
 from linnetwood.wire.curldriver import Headers
 
@@ -73,9 +73,9 @@
             resume_after=by_name.get(_RESUME_AFTER, ''),
         )
 
-    def outgoing(self, headers: Headers, errand: Errand) -> Headers:
+    def outgoing(self, headers: Headers, call: OutgoingCall) -> Headers:
         """Give the headers of an attempt."""
-        resumes = bool(errand.resume_after)
+        resumes = bool(call.resume_after)
         dropped = _of_connection(headers) | _SET_HERE
         sent = [
             (name, text)
@@ -83,17 +83,17 @@
             if name.lower() not in dropped
             and not (resumes and name.lower() == _RESUME_AFTER)
         ]
-        left_ms = max(1, int(errand.left_s * _MILLISECONDS))
-        sent.append(('X-Deadline-Ms', str(left_ms)))
-        sent.append(('X-Expected-Instance', errand.endpoint))
-        if errand.organisation:
-            sent.append(('X-Tenant', errand.organisation))
-        if errand.version:
-            sent.append(('X-Expected-Version', str(errand.version)))
-        if errand.urgency is Urgency.LATE:
+        remaining_ms = max(1, int(call.remaining_s * _MILLISECONDS))
+        sent.append(('X-Deadline-Ms', str(remaining_ms)))
+        sent.append(('X-Expected-Instance', call.endpoint))
+        if call.organisation:
+            sent.append(('X-Tenant', call.organisation))
+        if call.version:
+            sent.append(('X-Expected-Version', str(call.version)))
+        if call.urgency is Urgency.LATE:
             sent.append(('X-Request-Priority', _LATE_PRIORITY))
         if resumes:
-            sent.append(('Last-Event-Id', errand.resume_after))
+            sent.append(('Last-Event-Id', call.resume_after))
         return sent
 
     def verdict(self, status: int, headers: Headers, call_id: str) -> Verdict:
--- a/src/linnetwood/platform/feeds.py
+++ b/src/linnetwood/platform/feeds.py
@@ -7,7 +7,7 @@
 from types import MappingProxyType
 
 from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.routebook import RouteBook
+from linnetwood.calls.routetable import RouteTable
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import ConfigError
 from linnetwood.core.events import Event, log
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        adopt: Callable[[RouteBook], None],
+        adopt: Callable[[RouteTable], None],
         wanted: WantedVersions,
         clock: Clock,
         changed: Callable[[], None],
--- a/src/linnetwood/platform/records.py
+++ b/src/linnetwood/platform/records.py
@@ -5,16 +5,16 @@
 
 from linnetwood.calls.directory import Listed
 from linnetwood.calls.engine import EngineFigures
-from linnetwood.calls.routebook import (
+from linnetwood.calls.routetable import (
     CallLimits,
     Organisation,
     Origin,
     Repeat,
     Route,
-    RouteBook,
+    RouteTable,
     Service,
     Share,
-    shelve,
+    index_by_host,
 )
 from linnetwood.core.errors import ConfigError
 from linnetwood.fleet.ranges import Record
@@ -38,7 +38,7 @@
 _REPEATABLE = 'idempotent'
 
 
-def config(record: Record) -> RouteBook:
+def config(record: Record) -> RouteTable:
     """Decode the operator's configuration, or raise ConfigError."""
     said = checked.read(record.payload, tables.CONFIG, 'config-malformed')
     for one in said['routes']:
@@ -78,12 +78,12 @@
     )
 
 
-def _config(said: Mapping[str, Any], revision: int) -> RouteBook:
+def _config(said: Mapping[str, Any], revision: int) -> RouteTable:
     tenants = said.get('tenants')
-    return RouteBook(
+    return RouteTable(
         revision=revision,
         version=int(said.get('version', 0)),
-        by_host=shelve(_route(one) for one in said['routes']),
+        by_host=index_by_host(_route(one) for one in said['routes']),
         services={
             one['name']: _service(one)
             for one in said['services']
--- a/src/linnetwood/programs/resident_calls.py
+++ b/src/linnetwood/programs/resident_calls.py
@@ -3,12 +3,12 @@
 from random import Random
 
 from linnetwood.calls.choice import Chooser
+from linnetwood.calls.deadlineadmission import DeadlineAdmission
 from linnetwood.calls.direct import DirectDispatcher
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.entrance import Entrance
-from linnetwood.calls.policy.firsttries import FIRST_TRIES
-from linnetwood.calls.policy.returnroom import RETURN_ROOM
-from linnetwood.calls.policy.returns import RETURNS
+from linnetwood.calls.policy.firstattempts import FIRST_ATTEMPT_DETECTORS
+from linnetwood.calls.policy.retryafter import RETRY_AFTER_POLICIES
+from linnetwood.calls.policy.retrycapacity import RETRY_CAPACITY
 from linnetwood.core.clock import Clock
 from linnetwood.core.metrics import Metrics
 from linnetwood.core.options import Decisions
@@ -42,11 +42,11 @@
             zone,
             metrics,
         )
-        self.entrance = Entrance(
+        self.admission = DeadlineAdmission(
             self.chooser,
             self.dispatcher,
             clock,
-            RETURNS[decisions.returns](rng),
-            FIRST_TRIES[decisions.first_tries](),
-            RETURN_ROOM[decisions.return_room],
+            RETRY_AFTER_POLICIES[decisions.returns](rng),
+            FIRST_ATTEMPT_DETECTORS[decisions.first_tries](),
+            RETRY_CAPACITY[decisions.return_room],
         )
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -6,12 +6,12 @@
 
 from tornado.httpserver import HTTPServer
 
-from linnetwood.calls.direct import RetryBounds
+from linnetwood.calls.configbasis import ConfigAgeTracker
+from linnetwood.calls.direct import RetryLimits
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.front import Front, open_server
-from linnetwood.calls.grounds import Vigil
+from linnetwood.calls.frontend import Frontend, open_server
 from linnetwood.calls.reports import Reports
-from linnetwood.calls.routebook import RouteBook
+from linnetwood.calls.routetable import RouteTable
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.events import Event, log
 from linnetwood.core.exposed import ExposedMetrics
@@ -59,7 +59,7 @@
         decisions: Decisions = _BY_DEFAULT,
     ) -> None:
         """Build; start nothing."""
-        self.book = RouteBook()
+        self.route_table = RouteTable()
         self._cfg = cfg
         self._stopping = False
         clock = SystemClock()
@@ -82,7 +82,7 @@
         self.dispatcher = path.dispatcher
         store = PlatformStore(cfg.store, self.driver)
         ends = EndNews(store, self.directory, clock, rng)
-        self.dispatcher.ends = ends.watch
+        self.dispatcher.crash_observer = ends.watch
         self._ends = ends
         self._tellers = Tellers(cfg.host, rng)
         self.reports = Reports(
@@ -95,23 +95,23 @@
             cfg.zone,
             self._tellers,
         )
-        self.dispatcher.noticed = self.reports.noticed
-        self.vigil = Vigil(
+        self.dispatcher.on_notice = self.reports.noticed
+        self.config_age = ConfigAgeTracker(
             clock,
             lambda: self._following.heard_at,
             cfg.config_bound_s * _TRUSTED_PART,
         )
-        self.front = Front(
-            lambda: self.book,
+        self.frontend = Frontend(
+            lambda: self.route_table,
             self.dispatcher,
             path.dialect,
-            ends.before(path.entrance),
+            ends.before(path.admission),
             rng,
             metrics,
-            self.vigil.grounds,
+            self.config_age.basis,
         )
-        metrics.gauge(Metric.CONFIG_VERSION, lambda: self.book.version)
-        metrics.gauge(Metric.STORE_AGE_S, self.vigil.store_age_s)
+        metrics.gauge(Metric.CONFIG_VERSION, lambda: self.route_table.version)
+        metrics.gauge(Metric.STORE_AGE_S, self.config_age.store_age_s)
         chooser.entries = lambda: self.reports.entries
         ends.entries = chooser.entries
         self._figures = FiguresPage(metrics)
@@ -140,7 +140,7 @@
         )
         self._following = self._news.following
         self.reports.greetings.revision = lambda: self._following.revision
-        self._callers = open_server(self.front, self.book.limits)
+        self._callers = open_server(self.frontend, self.route_table.limits)
         self._servers: list[HTTPServer] = []
 
     async def start(self) -> None:
@@ -156,7 +156,7 @@
     async def close(self) -> None:
         """Be taken out, finish what is under way, then go."""
         self._stopping = True
-        self.front.stopping = True
+        self.frontend.stopping = True
         await self._finish_calls()
         await self._ends.close()
         await self._news.close()
@@ -164,27 +164,32 @@
         self._figures.close()
         self.driver.close()
 
-    def adopt(self, book: RouteBook) -> None:
+    def adopt(self, route_table: RouteTable) -> None:
         """Put a newer configuration in force; an older one never is."""
-        if book.version <= self.book.version and self.book.revision:
+        if (
+            route_table.version <= self.route_table.version
+            and self.route_table.revision
+        ):
             return
-        self.book = book
-        self.vigil.adopted(book)
-        self.reports.book = book
-        self._callers.bound(book.limits)
+        self.route_table = route_table
+        self.config_age.adopted(route_table)
+        self.reports.route_table = route_table
+        self._callers.set_limits(route_table.limits)
         self._share_retries()
         log(
             Event.ROUTES_ADOPTED,
-            version=book.version,
-            revision=book.revision,
-            routes=sum(map(len, book.by_host.values())),
+            version=route_table.version,
+            revision=route_table.revision,
+            routes=sum(map(len, route_table.by_host.values())),
         )
 
     @property
     def ready(self) -> bool:
         """Tell whether calls should come here."""
         learned = self._following.learned.is_set()
-        return learned and bool(self.book.revision) and not self._stopping
+        return (
+            learned and bool(self.route_table.revision) and not self._stopping
+        )
 
     async def _finish_calls(self) -> None:
         loop = asyncio.get_running_loop()
@@ -192,20 +197,20 @@
         until = began + self._cfg.stop_within_s - _STOP_MARGIN_S
         while loop.time() < began + _BALANCER_SEES_S:
             await asyncio.sleep(_IDLE_CHECK_S)
-            self.front.close_idle()
+            self.frontend.close_idle()
         for server in self._servers:
             server.stop()
-        self.front.leaving = True
-        while self.front.under_way and loop.time() < until:
+        self.frontend.leaving = True
+        while self.frontend.active_calls and loop.time() < until:
             await asyncio.sleep(_CHECK_S)
-            self.front.close_idle()
-        if self.front.under_way:
-            log(Event.STOP_LIMIT_REACHED, in_flight=self.front.under_way)
+            self.frontend.close_idle()
+        if self.frontend.active_calls:
+            log(Event.STOP_LIMIT_REACHED, in_flight=self.frontend.active_calls)
 
     def _share_retries(self) -> None:
         # All entries share one budget without talk: each takes its part.
         entries = max(1, self.reports.entries)
-        self.dispatcher.retry_bounds = RetryBounds(
+        self.dispatcher.retry_limits = RetryLimits(
             self._cfg.retry_share * _RETRY_PART,
             max(1, self._cfg.retry_extra * _RETRY_PART / entries),
         )
--- a/tests/test_callsteps.py
+++ b/tests/test_callsteps.py
@@ -28,7 +28,7 @@
             ),
             ('/x/linnetwood/wire/frames.py', 'hear endpoints and the store'),
             ('/x/linnetwood/calls/attempt.py', 'run the call'),
-            ('/x/linnetwood/calls/policy/returns.py', 'choose'),
+            ('/x/linnetwood/calls/policy/retryafter.py', 'choose'),
             ('/lib/python3.11/asyncio/events.py', 'loop'),
             ('/lib/python3.11/enum.py', OTHER),
         )
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -6,19 +6,23 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.policy.firsttries import (
-    FIRST_TRIES,
-    AllAlike,
-    ByPatience,
-    Said,
+from linnetwood.calls.policy.firstattempts import (
+    FIRST_ATTEMPT_DETECTORS,
+    AlwaysFirst,
+    ByRemainingWait,
+    CallTraits,
 )
-from linnetwood.calls.policy.returnroom import (
-    RETURN_ROOM,
-    Place,
-    as_first,
-    reserve,
+from linnetwood.calls.policy.retryafter import (
+    RETRY_AFTER_POLICIES,
+    LastPart,
+    SizedWindow,
+)
+from linnetwood.calls.policy.retrycapacity import (
+    RETRY_CAPACITY,
+    SlotUsage,
+    keep_reserve,
+    same_as_first,
 )
-from linnetwood.calls.policy.returns import RETURNS, LastPart, SizedWindow
 from linnetwood.core.errors import SettingsError
 from linnetwood.core.options import Decisions
 from linnetwood.programs.resident import read_decisions
@@ -26,9 +30,9 @@
 from linnetwood.weights.versionplan import PLANS
 
 WAYS = {
-    'first_tries': FIRST_TRIES,
-    'return_room': RETURN_ROOM,
-    'returns': RETURNS,
+    'first_tries': FIRST_ATTEMPT_DETECTORS,
+    'return_room': RETRY_CAPACITY,
+    'returns': RETRY_AFTER_POLICIES,
     'takeover': TAKEOVERS,
     'version_plan': PLANS,
 }
@@ -94,10 +98,10 @@
 
     def test_nobody_is_told_to_wait_too_long(self) -> None:
         """A third of the time that is left, and not at once."""
-        for make in RETURNS.values():
-            returns = make(Random(1))
+        for make in RETRY_AFTER_POLICIES.values():
+            retry_after = make(Random(1))
             for number in range(200):
-                after_s = returns.after_s(6, number / 100)
+                after_s = retry_after.after_s(6, number / 100)
                 self.assertLessEqual(after_s, 2)
                 self.assertGreaterEqual(after_s, 0.15)
 
@@ -118,87 +122,91 @@
 
     def test_the_last_part(self) -> None:
         """Whoever comes back is late anyway, and differs from others."""
-        returns = LastPart(Random(1))
-        found = [returns.after_s(6, 0) for _ in range(50)]
+        retry_after = LastPart(Random(1))
+        found = [retry_after.after_s(6, 0) for _ in range(50)]
         self.assertGreaterEqual(min(found), 1.2)
         self.assertGreater(max(found) - min(found), 0.5)
 
 
-def said(route: str, wait_s: float | None, target_s: float = 0.5) -> Said:
+def traits(
+    route: str, wait_s: float | None, target_s: float = 0.5
+) -> CallTraits:
     """Give what a caller says that it waits."""
-    return Said(route, wait_s, target_s)
+    return CallTraits(route, wait_s, target_s)
 
 
 class FirstTriesTest(unittest.TestCase):
     """Who comes for the first time, by what callers say that they wait."""
 
     def setUp(self) -> None:
-        self.tries = ByPatience()
+        self.tries = ByRemainingWait()
         for number in range(20):
-            self.assertTrue(self.tries.is_first(said('r', 6 + number / 100), 0))
+            self.assertTrue(
+                self.tries.is_first(traits('r', 6 + number / 100), 0)
+            )
 
     def test_who_was_refused_has_less_time(self) -> None:
         """A fifth of it at least; others differ by little."""
         self.tries.refused(1)
-        self.assertTrue(self.tries.is_first(said('r', 6.0), 1))
-        self.assertFalse(self.tries.is_first(said('r', 4.8), 2))
-        self.assertFalse(self.tries.is_first(said('r', 4.1), 2))
+        self.assertTrue(self.tries.is_first(traits('r', 6.0), 1))
+        self.assertFalse(self.tries.is_first(traits('r', 4.8), 2))
+        self.assertFalse(self.tries.is_first(traits('r', 4.1), 2))
 
     def test_who_may_still_be_in_time(self) -> None:
         """It counts as a first try, also where it has waited."""
         self.tries.refused(1)
-        self.assertTrue(self.tries.is_first(said('r', 4.8, 2), 2))
-        self.assertFalse(self.tries.is_first(said('r', 4.1, 1.5), 2))
+        self.assertTrue(self.tries.is_first(traits('r', 4.8, 2), 2))
+        self.assertFalse(self.tries.is_first(traits('r', 4.1, 1.5), 2))
 
     def test_routes_differ(self) -> None:
         """Each has callers of its own."""
-        self.assertTrue(self.tries.is_first(said('s', 1.5), 0))
-        self.assertFalse(self.tries.is_first(said('r', 1.5), 0))
+        self.assertTrue(self.tries.is_first(traits('s', 1.5), 0))
+        self.assertFalse(self.tries.is_first(traits('r', 1.5), 0))
 
     def test_nothing_is_said(self) -> None:
         """Then nobody is put behind."""
-        self.assertTrue(self.tries.is_first(said('r', None), 0))
+        self.assertTrue(self.tries.is_first(traits('r', None), 0))
 
     def test_nobody_is_known_yet(self) -> None:
         """All are alike until enough were seen."""
-        tries = ByPatience()
-        tries.is_first(said('r', 6), 0)
-        self.assertTrue(tries.is_first(said('r', 3), 0))
+        tries = ByRemainingWait()
+        tries.is_first(traits('r', 6), 0)
+        self.assertTrue(tries.is_first(traits('r', 3), 0))
 
     def test_callers_that_differ(self) -> None:
         """The way does not fit, and is left by itself."""
-        tries = ByPatience()
+        tries = ByRemainingWait()
         rng = Random(1)
         waits = [rng.uniform(2, 6) for _ in range(200)]
-        found = [tries.is_first(said('r', wait_s), 0) for wait_s in waits]
+        found = [tries.is_first(traits('r', wait_s), 0) for wait_s in waits]
         self.assertTrue(all(found[40:]))
         tries.refused(1)
-        self.assertTrue(tries.is_first(said('r', 2), 1))
+        self.assertTrue(tries.is_first(traits('r', 2), 1))
 
     def test_returns_don_t_count_against_it(self) -> None:
         """Those who come back after a refusal are what it is for."""
         self.tries.refused(10)
-        found = [self.tries.is_first(said('r', 4), 11) for _ in range(100)]
+        found = [self.tries.is_first(traits('r', 4), 11) for _ in range(100)]
         self.assertFalse(any(found))
-        self.assertTrue(self.tries.fits)
+        self.assertTrue(self.tries.is_reliable)
 
     def test_callers_that_wait_less_from_now_on(self) -> None:
         """What they waited before is forgotten."""
         found = [
-            self.tries.is_first(said('r', 3), at) for at in range(1, 100, 5)
+            self.tries.is_first(traits('r', 3), at) for at in range(1, 100, 5)
         ]
         self.assertTrue(found[-1])
 
     def test_memory_is_bounded(self) -> None:
         """Routes beyond a number are not told apart."""
         for number in range(10000):
-            self.tries.is_first(said(f'r{number}', 6), 0)
+            self.tries.is_first(traits(f'r{number}', 6), 0)
         self.assertLessEqual(len(self.tries._longest), 4096)
-        self.assertTrue(self.tries.is_first(said('r9999', 1), 0))
+        self.assertTrue(self.tries.is_first(traits('r9999', 1), 0))
 
     def test_all_alike(self) -> None:
         """The other way tells nobody apart."""
-        self.assertTrue(AllAlike().is_first(said('r', 0.1), 0))
+        self.assertTrue(AlwaysFirst().is_first(traits('r', 0.1), 0))
 
 
 class ReturnRoomTest(unittest.TestCase):
@@ -207,7 +215,7 @@
     def test_as_first(self) -> None:
         """All that first tries may have."""
         for taken in (0, 8, 15, 20):
-            self.assertTrue(as_first(Place(taken, 16)))
+            self.assertTrue(same_as_first(SlotUsage(taken, 16)))
 
     def test_a_reserve(self) -> None:
         """Where more than a quarter of the slots is free."""
@@ -220,7 +228,7 @@
             (1, 1, False),
         ):
             with self.subTest(taken=taken, slots=slots):
-                self.assertIs(reserve(Place(taken, slots)), expected)
+                self.assertIs(keep_reserve(SlotUsage(taken, slots)), expected)
 
 
 if __name__ == '__main__':
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -5,16 +5,16 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.attempt import Caller
+from linnetwood.calls.attempt import AnswerSink
 from linnetwood.calls.choice import Chooser
-from linnetwood.calls.dialect import CallHead, Errand
+from linnetwood.calls.dialect import CallHead, OutgoingCall
 from linnetwood.calls.direct import (
     DirectCall,
     DirectDispatcher,
-    RetryBounds,
+    RetryLimits,
 )
 from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.routebook import Repeat, Route, Service, Share
+from linnetwood.calls.routetable import Repeat, Route, Service, Share
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Ending, Outcome
 from linnetwood.fleet.wanted import WantedVersions
@@ -39,7 +39,7 @@
 FAILED = answer(f'500 Bad\r\n{SIGNED}', b'oops')
 
 
-class Heard(Caller):
+class Heard(AnswerSink):
     """A caller that keeps what it is sent."""
 
     def __init__(self) -> None:
@@ -52,10 +52,10 @@
         self.status = status
         self.headers = headers
 
-    def piece(self, piece: bytes) -> None:
+    def send_piece(self, piece: bytes) -> None:
         self.received += piece
 
-    def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         self.begin(status, headers)
         self.received = body
         self.ended = 'whole'
@@ -238,13 +238,13 @@
 
     async def test_no_more_attempts_than_the_shared_budget_allows(self) -> None:
         """Without budget the first failure is the last; with it one more."""
-        cases = ((RetryBounds(0, 0), 1), (RetryBounds(0, 4), 2))
+        cases = ((RetryLimits(0, 0), 1), (RetryLimits(0, 4), 2))
         for bounds, runs in cases:
             with self.subTest(bounds=bounds):
                 await self.asyncTearDown()
                 await self.asyncSetUp()
                 await self.serve(says(FAILED), says(GOOD))
-                self.dispatcher.retry_bounds = bounds
+                self.dispatcher.retry_limits = bounds
                 await self.call(Repeat.MAY)
                 self.assertEqual(self.runs(), runs)
 
@@ -279,7 +279,7 @@
                 ('Connection', 'close, X-Hop'),
                 ('X-Hop', 'dropped'),
             ],
-            Errand('i-1', 0.25, 't-1'),
+            OutgoingCall('i-1', 0.25, 't-1'),
         )
         self.assertEqual(
             sent,
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -7,7 +7,7 @@
 from linnetwood.calls.choice import Chooser, Need
 from linnetwood.calls.directory import HELD_AFTER_OUTAGE_S, Directory, Listed
 from linnetwood.calls.engine import EngineFigures
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.routetable import Service
 from linnetwood.calls.standing import Report, Standing
 
 FIGURES = EngineFigures(
--- a/tests/test_entrance.py
+++ b/tests/test_entrance.py
@@ -4,15 +4,15 @@
 from random import Random
 
 from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.deadlineadmission import DeadlineAdmission
 from linnetwood.calls.dialect import CallHead, Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.entrance import Entrance
-from linnetwood.calls.policy.firsttries import ByPatience
+from linnetwood.calls.policy.firstattempts import ByRemainingWait
 from linnetwood.calls.policy.lateness import SPREAD_S
-from linnetwood.calls.policy.returnroom import reserve
-from linnetwood.calls.policy.returns import LastPart
-from linnetwood.calls.routebook import Repeat, Route, Service, Share
+from linnetwood.calls.policy.retryafter import LastPart
+from linnetwood.calls.policy.retrycapacity import keep_reserve
+from linnetwood.calls.routetable import Repeat, Route, Service, Share
 from linnetwood.core.outcomes import Ending, Outcome
 from tests.test_directory import POOL, listed, report
 
@@ -76,19 +76,19 @@
         directory = Directory()
         self.chooser = Chooser(directory, Random(1))
         directory.listed(listed('i-1'))
-        self.entrance = Entrance(
+        self.admission = DeadlineAdmission(
             self.chooser,
             Needs(),
             FixedClock(),
             LastPart(Random(1)),
         )
-        self.entrance(call(FIRST_TRY_S))
+        self.admission(call(FIRST_TRY_S))
 
     def offered(self, waiting: int, running: int) -> str:
         """Say what becomes of a call at an engine with so much to do."""
         word = report(waiting, running, 10)
         self.chooser.standing('i-1').heard(word)
-        found = self.entrance(call(FIRST_TRY_S))
+        found = self.admission(call(FIRST_TRY_S))
         if isinstance(found, Ending):
             self.assertIs(found.outcome, Outcome.NOT_RUN)
             self.assertGreater(found.retry_after_ms, 0)
@@ -113,10 +113,10 @@
         self.chooser.standing('i-1').heard(report(9, 16, 10))
         waits = []
         for _ in range(50):
-            found = self.entrance(call(FIRST_TRY_S))
+            found = self.admission(call(FIRST_TRY_S))
             assert isinstance(found, Ending)
             waits.append(found.retry_after_ms)
-        left_ms = (call(FIRST_TRY_S).until - FixedClock().now()) * 1000
+        left_ms = (call(FIRST_TRY_S).deadline - FixedClock().now()) * 1000
         self.assertLessEqual(max(waits), left_ms / 3)
         self.assertGreaterEqual(min(waits), int(left_ms / 3 * 0.6))
         self.assertGreater(max(waits) - min(waits), left_ms / 3 * 0.3)
@@ -125,13 +125,13 @@
         """Only engines tell enough to predict by."""
         desk = Service('desk', 10)
         self.assertIs(
-            self.entrance(call(FIRST_TRY_S, desk)),
+            self.admission(call(FIRST_TRY_S, desk)),
             Urgency.IN_TIME,
         )
 
     def test_no_endpoint_is_a_refusal(self) -> None:
         """Nothing can run where nobody serves."""
-        nobody = Entrance(
+        nobody = DeadlineAdmission(
             Chooser(Directory(), Random(1)),
             Needs(),
             FixedClock(),
@@ -155,13 +155,13 @@
         directory = Directory()
         self.chooser = Chooser(directory, Random(1))
         directory.listed(listed('i-1'))
-        self.entrance = Entrance(
+        self.admission = DeadlineAdmission(
             self.chooser,
             Needs(),
             FixedClock(),
             LastPart(Random(1)),
-            ByPatience(),
-            reserve,
+            ByRemainingWait(),
+            keep_reserve,
         )
         self.offer(0, 0, *(FIRST_TRY_S for _ in range(100)))
 
@@ -169,7 +169,7 @@
         """Say what becomes of calls at an engine with so much to do."""
         word = report(waiting, running, 10)
         self.chooser.standing('i-1').heard(word)
-        found = [self.entrance(call(wait_s)) for wait_s in waits]
+        found = [self.admission(call(wait_s)) for wait_s in waits]
         return [
             one.detail if isinstance(one, Ending) else one.value
             for one in found
@@ -191,7 +191,7 @@
     def test_refused_returns_may_come_again(self) -> None:
         """They are told when, within a third of what they have left."""
         self.chooser.standing('i-1').heard(report(0, 12, 10))
-        found = self.entrance(call(RETURN_S))
+        found = self.admission(call(RETURN_S))
         assert isinstance(found, Ending)
         self.assertIs(found.outcome, Outcome.NOT_RUN)
         self.assertGreater(found.retry_after_ms, 0)
@@ -199,7 +199,7 @@
     def test_plain_services_take_returns(self) -> None:
         """Only engines tell enough to keep places."""
         desk = Service('desk', 10)
-        found = self.entrance(call(RETURN_S, desk))
+        found = self.admission(call(RETURN_S, desk))
         self.assertIs(found, Urgency.IN_TIME)
 
 
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -8,21 +8,21 @@
 from tornado.netutil import bind_sockets
 
 from linnetwood.calls.choice import Chooser
+from linnetwood.calls.configbasis import ConfigAgeTracker
+from linnetwood.calls.deadlineadmission import DeadlineAdmission
 from linnetwood.calls.direct import DirectDispatcher
 from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.entrance import Entrance
-from linnetwood.calls.front import Front, open_server
-from linnetwood.calls.grounds import Vigil
-from linnetwood.calls.policy.returns import LastPart
-from linnetwood.calls.routebook import (
+from linnetwood.calls.frontend import Frontend, open_server
+from linnetwood.calls.policy.retryafter import LastPart
+from linnetwood.calls.routetable import (
     CallLimits,
     Organisation,
     Repeat,
     Route,
-    RouteBook,
+    RouteTable,
     Service,
     Share,
-    shelve,
+    index_by_host,
 )
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.events import Event, log
@@ -41,10 +41,10 @@
 )
 from tests.test_direct import FULL, GOOD
 
-BOOK = RouteBook(
+ROUTE_TABLE = RouteTable(
     revision=1,
     version=1,
-    by_host=shelve(
+    by_host=index_by_host(
         [
             Route(
                 'r',
@@ -112,7 +112,7 @@
     """Speak to a front over sockets."""
 
     async def asyncSetUp(self) -> None:
-        self.book = BOOK
+        self.route_table = ROUTE_TABLE
         self.heard_at = -math.inf
         self.directory = Directory()
         chooser = Chooser(self.directory, Random(1))
@@ -127,24 +127,24 @@
             'z1',
             NoMetrics(),
         )
-        entrance = Entrance(
+        admission = DeadlineAdmission(
             chooser,
             dispatcher,
             SystemClock(),
             LastPart(Random(1)),
         )
         self.clock = StillClock()
-        self.vigil = Vigil(self.clock, lambda: self.heard_at)
-        self.front = Front(
-            lambda: self.book,
+        self.config_age = ConfigAgeTracker(self.clock, lambda: self.heard_at)
+        self.frontend = Frontend(
+            lambda: self.route_table,
             dispatcher,
             dialect,
-            entrance,
+            admission,
             Random(1),
             self.metrics,
-            self.vigil.grounds,
+            self.config_age.basis,
         )
-        self.server = open_server(self.front, BOOK.limits)
+        self.server = open_server(self.frontend, ROUTE_TABLE.limits)
         sockets = bind_sockets(0, HOST)
         self.server.add_sockets(sockets)
         self.port = int(sockets[0].getsockname()[1])
@@ -202,9 +202,11 @@
 
     def trust(self, trusted_s: float) -> None:
         """Believe for so long after the store was heard, from 100 s on."""
-        vigil = Vigil(self.clock, lambda: self.heard_at, trusted_s)
-        vigil.adopted(BOOK)
-        self.front.grounds = vigil.grounds
+        config_age = ConfigAgeTracker(
+            self.clock, lambda: self.heard_at, trusted_s
+        )
+        config_age.adopted(ROUTE_TABLE)
+        self.frontend.config_basis = config_age.basis
 
     async def refused(self, asked: bytes) -> list[dict[str, object]]:
         """Send a request; give what the log tells of its place."""
@@ -219,7 +221,7 @@
 
     async def test_refusals_tell_how_old_the_belief_was(self) -> None:
         """Each says why, by which configuration, and how old that is."""
-        self.vigil.adopted(BOOK)
+        self.config_age.adopted(ROUTE_TABLE)
         self.heard_at = 102.5
         self.clock.at = 110.0
         keyless = request('/a/x').replace(b'Authorization', b'X-Other')
@@ -289,7 +291,7 @@
         self.trust(1.2)
         self.clock.at = 200.0
         await self.serve(says(GOOD))
-        self.assertTrue(self.front.grounds().old)
+        self.assertTrue(self.frontend.config_basis().is_stale)
         self.assertEqual((await self.ask(request('/a/x')))[0][0], 200)
 
     async def test_what_callers_wrote_is_cut(self) -> None:
@@ -306,14 +308,14 @@
         """Answers, and refusals that no configuration changes, add no line."""
         await self.serve(says(GOOD))
         self.assertEqual(await self.refused(request('/a/x')), [])
-        self.book = RouteBook()
+        self.route_table = RouteTable()
         self.assertEqual(await self.refused(request('/a/x')), [])
 
     async def test_calls_tell_by_which_configuration_they_were_read(
         self,
     ) -> None:
         """Of a call that outlasts its configuration the old one is told."""
-        self.vigil.adopted(BOOK)
+        self.config_age.adopted(ROUTE_TABLE)
         self.heard_at = 99.0
         self.clock.at = 101.0
 
@@ -321,7 +323,7 @@
             _: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            self.vigil.adopted(RouteBook(revision=2, version=2))
+            self.config_age.adopted(RouteTable(revision=2, version=2))
             self.clock.at = 105.0
             writer.write(GOOD)
             await writer.drain()
@@ -335,11 +337,11 @@
             if getattr(one, 'event', 0) == Event.ATTEMPT_ENDED
         ]
         self.assertEqual(lines, [[1, None, 1000, 2000]])
-        self.assertEqual(self.front.grounds().version, 2)
+        self.assertEqual(self.frontend.config_basis().version, 2)
 
     async def test_no_configuration_yet(self) -> None:
         """A process that knows none says so, not that there is no route."""
-        self.book = RouteBook()
+        self.route_table = RouteTable()
         self.assertEqual((await self.ask(request('/a/x')))[0][0], 503)
 
     async def test_limits_of_a_newer_configuration(self) -> None:
@@ -349,17 +351,17 @@
         long = plain.replace(b'\r\n', b'\r\nX-Fill: ' + b'f' * 900 + b'\r\n', 1)
         answers = await self.ask(plain, long)
         self.assertEqual([one[0] for one in answers], [200, 200])
-        self.server.bound(CallLimits(header_bytes=600))
+        self.server.set_limits(CallLimits(header_bytes=600))
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(plain)
         self.assertIn(b'200', await reader.readline())
-        self.server.bound(CallLimits(header_bytes=60))
+        self.server.set_limits(CallLimits(header_bytes=60))
         writer.write(plain + plain)
         async with asyncio.timeout(60):
             rest = await reader.read()
         self.assertEqual(rest.count(b'HTTP/1.1 200'), 1)
         writer.close()
-        self.server.bound(CallLimits())
+        self.server.set_limits(CallLimits())
         self.assertEqual((await self.ask(long))[0][0], 200)
 
     async def test_kept_connection_serves_several(self) -> None:
@@ -371,7 +373,7 @@
     async def test_answers_of_a_stopping_process_close(self) -> None:
         """Callers are sent elsewhere with their last answer."""
         await self.serve(says(GOOD))
-        self.front.stopping = True
+        self.frontend.stopping = True
         _, head, body = (await self.ask(request('/a/x')))[0]
         self.assertIn(b'Connection: close', head)
         self.assertEqual(body, b'fine')
@@ -381,8 +383,8 @@
     ) -> None:
         """What may not finish before the process ends is not begun."""
         back = await self.serve(says(GOOD))
-        self.front.stopping = True
-        self.front.leaving = True
+        self.frontend.stopping = True
+        self.frontend.leaving = True
         status, head, _ = (await self.ask(request('/a/x')))[0]
         self.assertEqual(status, 503)
         self.assertIn(b'Connection: close', head)
@@ -406,7 +408,7 @@
         busy = asyncio.create_task(self.ask(request('/a/x')))
         while not back.requests:
             await asyncio.sleep(0)
-        self.front.close_idle()
+        self.frontend.close_idle()
         self.assertEqual(await idle.read(), b'')
         idle_writer.close()
         go.set()
@@ -419,7 +421,7 @@
             writer.close()
             await writer.wait_closed()
         async with asyncio.timeout(30):
-            while self.front.waiting:
+            while self.frontend.unused_connections:
                 await asyncio.sleep(0)
 
     async def test_departure_is_passed_on(self) -> None:
@@ -434,7 +436,7 @@
         writer.close()
         async with asyncio.timeout(30):
             await gone.wait()
-        self.assertEqual(self.front.under_way, 0)
+        self.assertEqual(self.frontend.active_calls, 0)
 
 
 if __name__ == '__main__':
--- a/tests/test_heeding.py
+++ b/tests/test_heeding.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from linnetwood.calls.routebook import Repeat
+from linnetwood.calls.routetable import Repeat
 from linnetwood.core.outcomes import Outcome
 from tests import test_direct
 from tests.test_curldriver import Behaviour, says
--- a/tests/test_junk.py
+++ b/tests/test_junk.py
@@ -13,7 +13,7 @@
 
 from linnetwood.calls.crashes import Crashes
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.routebook import RouteBook
+from linnetwood.calls.routetable import RouteTable
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.errors import (
     CodecError,
@@ -80,7 +80,7 @@
 
     def __init__(self) -> None:
         self.directory = Directory()
-        self.book = RouteBook()
+        self.route_table = RouteTable()
         self.wanted = WantedVersions(8)
         clock = SystemClock()
         self.feed = StoreFeed(
@@ -108,8 +108,8 @@
         """Write one key."""
         self.feed.changed((Change(key, Record(payload, 10)),))
 
-    def _adopt(self, book: RouteBook) -> None:
-        self.book = book
+    def _adopt(self, route_table: RouteTable) -> None:
+        self.route_table = route_table
 
     def _changed(self) -> None:
         """Note nothing."""
@@ -202,7 +202,7 @@
         fed = Fed()
         fed.change(key, payload)
         self.assertIn('b', fed.names())
-        self.assertEqual(fed.book.version, CONFIG['version'])
+        self.assertEqual(fed.route_table.version, CONFIG['version'])
         self.assertEqual(fed.wanted.version('m-1'), 2)
 
     @settings(max_examples=300)
@@ -214,11 +214,11 @@
         place[key] = chance.draw(strategies.sampled_from(JUNK))
         fed = Fed()
         fed.change('op/config', json.dumps(said).encode())
-        route = fed.book.find('host1.example', '/c/x')
+        route = fed.route_table.find('host1.example', '/c/x')
         if route is not None:
             self.assertGreater(route.timeout_s, 0)
             self.assertIsInstance(route.shares[0].service, str)
-        fed.book.organisation('k1')
+        fed.route_table.organisation('k1')
 
     @given(strategies.binary(max_size=200))
     def test_what_entries_pass_on(self, packed: bytes) -> None:
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -11,7 +11,7 @@
 from linnetwood.calls.choice import Chooser, Need
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.engine import EngineFigures
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.routetable import Service
 from linnetwood.calls.standing import Report
 from linnetwood.calls.lives import take_report
 
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -16,7 +16,7 @@
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.engine import EngineFigures
 from linnetwood.calls.reports import Reports
-from linnetwood.calls.routebook import Repeat, Route, Service, Share
+from linnetwood.calls.routetable import Repeat, Route, Service, Share
 from linnetwood.calls.standing import Report, Standing
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.metrics import NoMetrics
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -3,8 +3,8 @@
 import dataclasses
 import unittest
 
-from linnetwood.calls.patience import Silence
-from linnetwood.calls.routebook import Repeat, Route
+from linnetwood.calls.routetable import Repeat, Route
+from linnetwood.calls.silencetimeouts import SilenceTimeouts
 
 ROUTE = Route(
     'r',
@@ -36,7 +36,7 @@
         )
         for target_s, gap_s, expected in cases:
             route = dataclasses.replace(ROUTE, target_s=target_s, gap_s=gap_s)
-            found = dataclasses.astuple(Silence.of(route))
+            found = dataclasses.astuple(SilenceTimeouts.for_route(route))
             with self.subTest(target_s=target_s, gap_s=gap_s):
                 for one, other in zip(found, expected, strict=True):
                     self.assertAlmostEqual(one, other)
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -9,11 +9,11 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.crashes import Crashes
 from linnetwood.calls.choice import Chooser, Need
+from linnetwood.calls.crashes import Crashes
 from linnetwood.calls.directory import Directory
 from linnetwood.calls.reach import ANYWHERE, Reach, reach_of
-from linnetwood.calls.routebook import RouteBook, Service
+from linnetwood.calls.routetable import RouteTable, Service
 from linnetwood.core.clock import SystemClock
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
@@ -130,12 +130,14 @@
         desk = {'name': 'desk', 'cold_per_s': 26.0, 'cold_start_s': 3.0}
         said = {**CONFIG, 'routes': [route], 'tenants': [tenant]}
         said['services'] = [*CONFIG['services'], desk]
-        book = records.config(Record(json.dumps(said).encode(), 1))
-        self.assertEqual(book.by_host['host1.example'][0].regions, ('north',))
-        holder = book.organisation('k1')
+        route_table = records.config(Record(json.dumps(said).encode(), 1))
+        self.assertEqual(
+            route_table.by_host['host1.example'][0].regions, ('north',)
+        )
+        holder = route_table.organisation('k1')
         assert holder is not None
         self.assertEqual(holder.regions, ('south',))
-        found = book.services['desk']
+        found = route_table.services['desk']
         self.assertEqual((found.cold_per_s, found.cold_start_s), (26, 3))
 
     def test_an_evacuated_zone(self) -> None:
@@ -189,7 +191,7 @@
     def _cold(self, number: int) -> object:
         return self.entry('z1', number, cold_remaining_ms=COLD_MS)
 
-    def _adopt(self, book: RouteBook) -> None:
+    def _adopt(self, route_table: RouteTable) -> None:
         """Keep nothing."""
 
     def _changed(self) -> None:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,7 +6,7 @@
 from linnetwood.calls.dialect import CallHead, Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.quarantine import Quarantine
-from linnetwood.calls.routebook import Repeat, Route, Service, Share
+from linnetwood.calls.routetable import Repeat, Route, Service, Share
 from linnetwood.core.outcomes import Code, Ending, not_run
 
 LIKENESS = 'c0' * 12
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -18,7 +18,7 @@
 from linnetwood.calls.engine import EngineFigures
 from linnetwood.calls.limits import Place, RateLimits
 from linnetwood.calls.notices import Notice, Notices
-from linnetwood.calls.routebook import Repeat, Service, Share
+from linnetwood.calls.routetable import Repeat, Service, Share
 from linnetwood.calls.standing import Report, Standing
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Outcome
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -4,7 +4,7 @@
 import unittest
 from typing import Any
 
-from linnetwood.calls.routebook import Repeat, pick_service
+from linnetwood.calls.routetable import Repeat, pick_service
 from linnetwood.core.errors import ConfigError
 from linnetwood.fleet.ranges import Record
 from linnetwood.platform import records
@@ -76,7 +76,7 @@
 
     def test_longest_prefix_of_the_host_wins(self) -> None:
         """A route is found by host and longest prefix, or not at all."""
-        book = records.config(record(CONFIG))
+        route_table = records.config(record(CONFIG))
         cases = (
             ('host1.example', '/a/x', 'r-1'),
             ('HOST1.example:80', '/a/b/x?y=/c/', 'r-2'),
@@ -85,25 +85,25 @@
         )
         for host, target, expected in cases:
             with self.subTest(host=host, target=target):
-                route = book.find(host, target)
+                route = route_table.find(host, target)
                 self.assertEqual(route.name if route else None, expected)
 
     def test_kinds_say_what_may_be_repeated(self) -> None:
         """Each kind of route becomes a rule for repeats."""
-        book = records.config(record(CONFIG))
-        found = {one.name: one for one in book.by_host['host1.example']}
+        route_table = records.config(record(CONFIG))
+        found = {one.name: one for one in route_table.by_host['host1.example']}
         self.assertIs(found['r-1'].repeat, Repeat.RESUME)
         self.assertIs(found['r-2'].repeat, Repeat.MAY)
         self.assertIs(found['r-3'].repeat, Repeat.NEVER)
         plain = {**ROUTE, 'stream_resumption': False}
-        book = records.config(record({**CONFIG, 'routes': [plain]}))
-        only = book.by_host['host1.example'][0]
+        route_table = records.config(record({**CONFIG, 'routes': [plain]}))
+        only = route_table.by_host['host1.example'][0]
         self.assertIs(only.repeat, Repeat.NEVER)
 
     def test_split_follows_the_weights(self) -> None:
         """A call goes to a service by its share."""
-        book = records.config(record(CONFIG))
-        route = book.find('host1.example', '/c/')
+        route_table = records.config(record(CONFIG))
+        route = route_table.find('host1.example', '/c/')
         assert route is not None
         cases = ((0, 'pool'), (0.89, 'pool'), (0.91, 'desk'), (0.999, 'desk'))
         for chance, expected in cases:
@@ -112,17 +112,17 @@
 
     def test_services_origin_keys_and_limits(self) -> None:
         """Engines, the origin, organisations and limits are told apart."""
-        book = records.config(record(CONFIG))
-        self.assertEqual(set(book.services), {'pool', 'desk'})
-        engine = book.services['pool'].engine
+        route_table = records.config(record(CONFIG))
+        self.assertEqual(set(route_table.services), {'pool', 'desk'})
+        engine = route_table.services['pool'].engine
         assert engine is not None
         self.assertAlmostEqual(engine.delay_s('z2', 'z1'), 0.0028)
-        self.assertEqual(book.origin.port, 8006)
-        holder = book.organisation('k2')
+        self.assertEqual(route_table.origin.port, 8006)
+        holder = route_table.organisation('k2')
         assert holder is not None
         self.assertEqual((holder.name, holder.priority), ('t-1', 1))
-        self.assertIsNone(book.organisation('k3'))
-        self.assertEqual(book.limits.header_bytes, 100)
+        self.assertIsNone(route_table.organisation('k3'))
+        self.assertEqual(route_table.limits.header_bytes, 100)
 
     def test_no_table_of_keys_means_no_keys_asked(self) -> None:
         """A configuration without organisations asks for no key."""
--- a/tests/test_resident_entry.py
+++ b/tests/test_resident_entry.py
@@ -7,8 +7,8 @@
 
 from tornado.netutil import bind_sockets
 
-from linnetwood.calls.grounds import Grounds
-from linnetwood.calls.routebook import CallLimits
+from linnetwood.calls.configbasis import ConfigBasis
+from linnetwood.calls.routetable import CallLimits
 from linnetwood.platform import records
 from linnetwood.platform.settings import Residence
 from linnetwood.programs.resident_entry import ResidentEntry
@@ -64,10 +64,10 @@
 
     async def test_calls_are_told_by_what_is_in_force(self) -> None:
         """Nothing is known at first; then version, revision and both ages."""
-        self.assertEqual(self.entry.front.grounds(), Grounds())
-        self.assertEqual(self.entry.vigil.store_age_s(), math.inf)
+        self.assertEqual(self.entry.frontend.config_basis(), ConfigBasis())
+        self.assertEqual(self.entry.config_age.store_age_s(), math.inf)
         await self.learn()
-        found = self.entry.front.grounds()
+        found = self.entry.frontend.config_basis()
         self.assertEqual((found.version, found.revision), (7, 5))
         self.assertGreaterEqual(found.config_age_ms, 0)
         self.assertGreaterEqual(found.store_age_ms, found.config_age_ms)
@@ -100,14 +100,14 @@
         self.assertEqual(self.entry._following.heard_at, heard_at)
         now = asyncio.get_running_loop().time()
         self.assertGreaterEqual(
-            self.entry.vigil.store_age_s(),
+            self.entry.config_age.store_age_s(),
             now - heard_at,
         )
 
     async def status(self, asked: bytes, store_age_s: float) -> int:
         """Give the status of a call that comes so long after the store."""
         # Heads may be longer than the test's configuration allows.
-        self.entry._callers.bound(CallLimits())
+        self.entry._callers.set_limits(CallLimits())
         sockets = bind_sockets(0, HOST)
         self.entry._callers.add_sockets(sockets)
         reader, writer = await asyncio.open_connection(
@@ -128,13 +128,13 @@
 
     async def test_a_belief_is_old_beyond_a_share_of_the_bound(self) -> None:
         """It is no healthy entry's from 0.6 of two seconds on."""
-        self.assertTrue(self.entry.front.grounds().old)
+        self.assertTrue(self.entry.frontend.config_basis().is_stale)
         await self.learn()
         for age_s, old in ((0, False), (1, False), (1.21, True), (6, True)):
             with self.subTest(age_s=age_s):
                 now = asyncio.get_running_loop().time()
                 self.entry._following.heard_at = now - age_s
-                self.assertIs(self.entry.front.grounds().old, old)
+                self.assertIs(self.entry.frontend.config_basis().is_stale, old)
 
     async def test_a_fresh_belief_refuses_for_good(self) -> None:
         """A route that the store has just not named is none."""
--- a/tests/test_severed.py
+++ b/tests/test_severed.py
@@ -6,10 +6,10 @@
 
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.dialect import CallHead
-from linnetwood.calls.direct import DirectCall, DirectDispatcher, RetryBounds
+from linnetwood.calls.direct import DirectCall, DirectDispatcher, RetryLimits
 from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.patience import Silence
-from linnetwood.calls.routebook import Service
+from linnetwood.calls.routetable import Service
+from linnetwood.calls.silencetimeouts import SilenceTimeouts
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Outcome
 from linnetwood.fleet.wanted import WantedVersions
@@ -86,7 +86,7 @@
         'z',
         NoMetrics(),
     )
-    dispatcher.retry_bounds = RetryBounds(reserve=4 * STREAMS)
+    dispatcher.retry_limits = RetryLimits(reserve=4 * STREAMS)
     now = loop.time()
     call = DirectCall(
         CallHead(call_id='c-1'),
@@ -122,7 +122,9 @@
         driver, _, _ = virtual.run(played())
         again = driver.begun[STREAMS:]
         silence_s = max(at for at, _, _ in again) - driver.severed_at
-        self.assertLessEqual(silence_s, Silence.of(ROUTE).next_s)
+        self.assertLessEqual(
+            silence_s, SilenceTimeouts.for_route(ROUTE).next_event_s
+        )
         self.assertEqual({after for _, _, after in again}, {5})
         self.assertEqual(driver.cancelled, 2 * STREAMS)
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -11,7 +11,7 @@
 
 from linnetwood.calls.crashes import Crashes, End
 from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.grounds import Vigil
+from linnetwood.calls.configbasis import ConfigAgeTracker
 from linnetwood.calls.standing import Report
 from linnetwood.core import loops
 from linnetwood.core.clock import SystemClock
@@ -63,12 +63,12 @@
         clock = SystemClock()
         before = clock.now()
         watch = PauseWatch(before)
-        vigil = Vigil(clock, lambda: before, SUSPENDED_S / 2)
-        self.assertFalse(vigil.grounds().old)
+        tracker = ConfigAgeTracker(clock, lambda: before, SUSPENDED_S / 2)
+        self.assertFalse(tracker.basis().is_stale)
         self.suspension.gone_s = SUSPENDED_S
         self.assertGreaterEqual(clock.now() - before, SUSPENDED_S)
         self.assertFalse(watch.may_order(clock.now()))
-        self.assertTrue(vigil.grounds().old)
+        self.assertTrue(tracker.basis().is_stale)
 
 
 class LoopTest(unittest.TestCase):
@@ -110,10 +110,10 @@
 
     def test_a_configuration(self) -> None:
         """What was not confirmed since is an old belief."""
-        vigil = Vigil(self.clock, float, 1.8)
-        self.assertFalse(vigil.grounds().old)
+        tracker = ConfigAgeTracker(self.clock, float, 1.8)
+        self.assertFalse(tracker.basis().is_stale)
         self.loop.suspend(SUSPENDED_S)
-        self.assertTrue(vigil.grounds().old)
+        self.assertTrue(tracker.basis().is_stale)
 
     def test_a_version(self) -> None:
         """Its bound passes meanwhile: calls start on no older one."""
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -13,7 +13,7 @@
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.reports import Reports
-from linnetwood.calls.routebook import RouteBook
+from linnetwood.calls.routetable import RouteTable
 from linnetwood.fleet.listeners import Listeners
 from linnetwood.fleet.news import Address, NewsPort
 from linnetwood.fleet.peerlist import PeerFollower
@@ -159,7 +159,7 @@
             self.zone(number),
             Tellers(host, Random(1)),
         )
-        reports.book = RouteBook(services={POOL.name: POOL})
+        reports.route_table = RouteTable(services={POOL.name: POOL})
         reports._news = Port(host, self.wire, 1)
         return reports
 
