--- a/src/linnetwood/calls/accounts.py
+++ b/src/linnetwood/calls/accounts.py
@@ -33,7 +33,7 @@
     """An attempt as it goes out; the time is one of the loop's clock."""
 
     call_id: str
-    likeness: str
+    fingerprint: str
     route: Route
     choice: Choice
     urgency: Urgency
@@ -84,7 +84,7 @@
     log(
         Event.ATTEMPT_ENDED,
         call=sending.call_id,
-        likeness=sending.likeness,
+        likeness=sending.fingerprint,
         route=route.name,
         endpoint=sending.choice.endpoint.endpoint,
         born=sending.choice.endpoint.born,
--- a/src/linnetwood/calls/admission.py
+++ b/src/linnetwood/calls/admission.py
@@ -4,19 +4,19 @@
 import dataclasses
 from collections.abc import Callable
 
-from linnetwood.calls.fairness import Bounds, FairQueue, Ticket
-from linnetwood.calls.pacing import Pace
+from linnetwood.calls.fairness import FairQueue, QueueLimits, Ticket
+from linnetwood.calls.pacing import BorrowPacer
 from linnetwood.core.clock import Clock
 from linnetwood.core.outcomes import Code, Ending, not_run
 from linnetwood.gen.schema.ttypes import Deployment
 
 # Timers of the loop may be a little early.
-_LEAST_PAUSE_S = 0.001
+_MIN_PAUSE_S = 0.001
 Capacity = Callable[[str], int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Visit:
+class AdmissionRequest:
     """Who asks for a slot of which target."""
 
     target: str
@@ -33,97 +33,102 @@
     """
 
     def __init__(
-        self, bounds: Bounds, capacity: Capacity, clock: Clock
+        self, limits: QueueLimits, capacity: Capacity, clock: Clock
     ) -> None:
         """Start without queues."""
         self.under_way = 0
-        self._bounds = bounds
+        self._limits = limits
         self._capacity = capacity
         self._clock = clock
         self._shares: dict[str, int] = {}
         self._queues: dict[str, FairQueue] = {}
-        self._turns: dict[Ticket, asyncio.Future[Ending | None]] = {}
-        self._resuming: set[FairQueue] = set()
+        self._waiters: dict[Ticket, asyncio.Future[Ending | None]] = {}
+        self._resume_scheduled: set[FairQueue] = set()
 
     def configured(self, deployment: Deployment) -> None:
         """Take in the organisations' shares."""
         self._shares.clear()
         self._shares.update(
-            {one.name: one.share for one in deployment.organisations},
+            {
+                organisation.name: organisation.share
+                for organisation in deployment.organisations
+            },
         )
 
-    async def enter(self, visit: Visit) -> Ending | None:
+    async def enter(self, request: AdmissionRequest) -> Ending | None:
         """Wait for a slot; give an ending when there is none in time."""
-        queue = self._queue(visit.target)
-        answer = queue.ask(
-            visit.organisation,
-            visit.priority,
-            visit.deadline,
+        queue = self._queue(request.target)
+        decision = queue.submit(
+            request.organisation,
+            request.priority,
+            request.deadline,
             self._clock.now(),
         )
-        if isinstance(answer, Ticket):
-            answer = await self._turn(queue, answer)
-        if answer is None:
+        if isinstance(decision, Ticket):
+            decision = await self._wait_for_slot(queue, decision)
+        if decision is None:
             self.under_way += 1
-        return answer
+        return decision
 
-    def leave(self, visit: Visit, took_s: float) -> None:
+    def leave(self, request: AdmissionRequest, took_s: float) -> None:
         """Give the slot back and let in who is next."""
         self.under_way -= 1
-        queue = self._queue(visit.target)
-        queue.done(took_s)
-        self._let_in(queue)
+        queue = self._queue(request.target)
+        queue.release(took_s)
+        self._admit_waiting(queue)
 
     def _queue(self, target: str) -> FairQueue:
         queue = self._queues.get(target)
         if queue is None:
-            pace = Pace(self._bounds.wait_s)
-            queue = FairQueue(self._bounds, self._shares, pace)
+            pacer = BorrowPacer(self._limits.wait_s)
+            queue = FairQueue(self._limits, self._shares, pacer)
             self._queues[target] = queue
         queue.capacity = max(1, self._capacity(target))
         return queue
 
-    def _let_in(self, queue: FairQueue) -> None:
+    def _admit_waiting(self, queue: FairQueue) -> None:
         now = self._clock.now()
-        for ticket, ending in queue.admitted(now):
-            turn = self._turns.pop(ticket)
-            turn.set_result(ending)
-        if queue.resume_at is None or queue in self._resuming:
+        for ticket, ending in queue.pop_admitted(now):
+            waiter = self._waiters.pop(ticket)
+            waiter.set_result(ending)
+        if queue.resume_at is None or queue in self._resume_scheduled:
             return
-        self._resuming.add(queue)
+        self._resume_scheduled.add(queue)
         asyncio.get_running_loop().call_later(
-            max(_LEAST_PAUSE_S, queue.resume_at - now),
+            max(_MIN_PAUSE_S, queue.resume_at - now),
             self._resume,
             queue,
         )
 
     def _resume(self, queue: FairQueue) -> None:
-        self._resuming.discard(queue)
-        self._let_in(queue)
+        self._resume_scheduled.discard(queue)
+        self._admit_waiting(queue)
 
-    async def _turn(self, queue: FairQueue, ticket: Ticket) -> Ending | None:
-        turn = asyncio.get_running_loop().create_future()
-        self._turns[ticket] = turn
+    async def _wait_for_slot(
+        self, queue: FairQueue, ticket: Ticket
+    ) -> Ending | None:
+        waiter = asyncio.get_running_loop().create_future()
+        self._waiters[ticket] = waiter
         try:
-            async with asyncio.timeout(self._bounds.wait_s):
-                return await asyncio.shield(turn)
+            async with asyncio.timeout(self._limits.wait_s):
+                return await asyncio.shield(waiter)
         except TimeoutError:
-            return self._gave_up(queue, ticket, turn)
+            return self._give_up(queue, ticket, waiter)
         except asyncio.CancelledError:
-            if self._gave_up(queue, ticket, turn) is None:
+            if self._give_up(queue, ticket, waiter) is None:
                 queue.under_way -= 1
-                self._let_in(queue)
+                self._admit_waiting(queue)
             raise
 
-    def _gave_up(
+    def _give_up(
         self,
         queue: FairQueue,
         ticket: Ticket,
-        turn: 'asyncio.Future[Ending | None]',
+        waiter: 'asyncio.Future[Ending | None]',
     ) -> Ending | None:
-        if turn.done():
+        if waiter.done():
             # The turn came in the same step; it must not be lost.
-            return turn.result()
-        self._turns.pop(ticket, None)
+            return waiter.result()
+        self._waiters.pop(ticket, None)
         queue.withdraw(ticket)
         return not_run(Code.LATE, 'waited too long')
--- a/src/linnetwood/calls/backend.py
+++ b/src/linnetwood/calls/backend.py
@@ -16,7 +16,7 @@
 CALL_HEADER = 'X-Call'
 VERSION_HEADER = 'X-Model-Version'
 _BUSY = 503
-_ABSENT = 404
+_NOT_FOUND = 404
 _MILLISECONDS = 1000
 _CANCEL_TIMEOUT_S = 2.0
 _HOP_HEADERS = frozenset(
@@ -34,7 +34,7 @@
 _BODY_METHODS = frozenset(('POST', 'PUT', 'PATCH'))
 
 
-class Sink(Protocol):
+class BackendSink(Protocol):
     """Take an answer piece by piece, without waiting."""
 
     def head(self, status: int, headers: list[str], version: str) -> None:
@@ -47,19 +47,19 @@
 class Backend(Protocol):
     """Run calls on the engine or service of this VM."""
 
-    async def run(self, start: Start, body: bytes, sink: Sink) -> Ending:
+    async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Run one call and say how it ended."""
 
     async def cancel(self, call_id: str) -> None:
         """Stop a call that nobody waits for."""
 
 
-def passed_on(lines: list[str]) -> list[str]:
+def end_to_end_headers(lines: list[str]) -> list[str]:
     """Leave out the headers that belong to one connection only."""
-    return _without(lines, _HOP_HEADERS)
+    return _without_headers(lines, _HOP_HEADERS)
 
 
-def _without(lines: list[str], names: frozenset[str]) -> list[str]:
+def _without_headers(lines: list[str], names: frozenset[str]) -> list[str]:
     return [
         line
         for line in lines
@@ -71,14 +71,14 @@
 class _Exchange:
     """Collect the head of one HTTP answer and pass the body on."""
 
-    sink: Sink
+    sink: BackendSink
     check: Callable[['_Exchange'], bool]
     status: int = 0
     lines: list[str] = dataclasses.field(default_factory=list)
     begun: bool = False
-    wrong: bool = False
+    is_wrong: bool = False
 
-    def watch_headers(self, curl: pycurl.Curl) -> None:
+    def attach_header_callback(self, curl: pycurl.Curl) -> None:
         """Take header lines from curl as they come."""
         curl.setopt(pycurl.HEADERFUNCTION, self.header)
 
@@ -95,16 +95,16 @@
         """Pass a piece on, after the head."""
         if not self.begun:
             self.open()
-        if not self.wrong:
+        if not self.is_wrong:
             self.sink.body(piece)
 
     def open(self) -> None:
         """Give the head to the sink, if the answer is the right one."""
         self.begun = True
-        self.wrong = not self.check(self)
-        if not self.wrong:
+        self.is_wrong = not self.check(self)
+        if not self.is_wrong:
             version = self.header_value(VERSION_HEADER)
-            self.sink.head(self.status, passed_on(self.lines), version)
+            self.sink.head(self.status, end_to_end_headers(self.lines), version)
 
     def header_value(self, name: str) -> str:
         """Give a header's value."""
@@ -132,7 +132,7 @@
         exchange: _Exchange,
     ) -> HTTPResponse:
         # The client's own header callback may run after the body's.
-        req.prepare_curl_callback = exchange.watch_headers
+        req.prepare_curl_callback = exchange.attach_header_callback
         req.streaming_callback = exchange.body
         req.follow_redirects = False
         req.decompress_response = False
@@ -142,11 +142,13 @@
 class ServiceBackend(_HttpBackend):
     """Pass a call to a plain service byte for byte."""
 
-    async def run(self, start: Start, body: bytes, sink: Sink) -> Ending:
+    async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Run one call."""
         exchange = _Exchange(sink, lambda _: True)
         headers = HTTPHeaders()
-        for line in _without(passed_on(start.headers), _REQUEST_ONLY_HEADERS):
+        for line in _without_headers(
+            end_to_end_headers(start.headers), _REQUEST_ONLY_HEADERS
+        ):
             name, _, text = line.partition(':')
             headers.add(name.strip(), text.strip())
         req = HTTPRequest(
@@ -164,7 +166,7 @@
 class EngineBackend(_HttpBackend):
     """Stream a generation from the model engine."""
 
-    async def run(self, start: Start, body: bytes, sink: Sink) -> Ending:
+    async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Run one call, if the engine serves the version it is pinned to."""
         exchange = _Exchange(
             sink,
@@ -181,10 +183,10 @@
             request_timeout=_timeout_s(start),
         )
         reply = await self._exchange(req, exchange)
-        if exchange.wrong:
+        if exchange.is_wrong:
             await self.cancel(start.call_id)
             return unknown(Code.WRONG_ANSWER, 'the engine answered otherwise')
-        if reply.code in {_BUSY, _ABSENT}:
+        if reply.code in {_BUSY, _NOT_FOUND}:
             return not_run(Code.BACKEND_BUSY, f'engine said {reply.code}')
         return _ending(reply, exchange)
 
@@ -205,10 +207,10 @@
 
 
 def _is_own_answer(exchange: _Exchange, start: Start) -> bool:
-    if exchange.status in {_BUSY, _ABSENT}:
+    if exchange.status in {_BUSY, _NOT_FOUND}:
         return True
-    own = exchange.header_value(CALL_HEADER) == start.call_id
-    return own and exchange.header_value(VERSION_HEADER) == start.version
+    is_own = exchange.header_value(CALL_HEADER) == start.call_id
+    return is_own and exchange.header_value(VERSION_HEADER) == start.version
 
 
 def _ending(reply: HTTPResponse, exchange: _Exchange) -> Ending:
--- a/src/linnetwood/calls/callers.py
+++ b/src/linnetwood/calls/callers.py
@@ -13,8 +13,8 @@
 from tornado.web import Application, RequestHandler
 
 from linnetwood.calls import keys
-from linnetwood.calls.admission import Visit
-from linnetwood.calls.dispatch import Call, Dispatcher, mint
+from linnetwood.calls.admission import AdmissionRequest
+from linnetwood.calls.dispatch import Call, Dispatcher, mint_key
 from linnetwood.calls.routing import Routes, Want
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import CallError
@@ -33,36 +33,36 @@
 DEADLINE_HEADER = 'X-Deadline-Ms'
 ORGANISATION_HEADER = 'X-Organisation'
 PRIORITY_HEADER = 'X-Priority'
-MOST_PRIORITY = 9
+MAX_PRIORITY = 9
 VERSION_HEADER = 'X-Model-Version'
-MAX_BODY = MIB
+MAX_BODY_BYTES = MIB
 _MAX_KEYS = 100
 _SAFE_METHODS = frozenset(('GET', 'HEAD', 'OPTIONS'))
-_BAD_REQUEST = 400
-_NOT_FOUND = 404
-_UNAVAILABLE = 503
-_GATEWAY = 502
+_BAD_REQUEST_STATUS = 400
+_NOT_FOUND_STATUS = 404
+_UNAVAILABLE_STATUS = 503
+_BAD_GATEWAY_STATUS = 502
 _MILLISECONDS = 1000
 _STATUSES = MappingProxyType(
     {
-        Code.BAD_REQUEST.value: _BAD_REQUEST,
-        Code.KEY_MALFORMED.value: _BAD_REQUEST,
-        Code.UNKNOWN_TARGET.value: _NOT_FOUND,
+        Code.BAD_REQUEST.value: _BAD_REQUEST_STATUS,
+        Code.KEY_MALFORMED.value: _BAD_REQUEST_STATUS,
+        Code.UNKNOWN_TARGET.value: _NOT_FOUND_STATUS,
     },
 )
 
 
-class Gate(Protocol):
+class AdmissionGate(Protocol):
     """Admit calls and count those under way."""
 
-    async def enter(self, visit: Visit) -> Ending | None:
+    async def enter(self, request: AdmissionRequest) -> Ending | None:
         """Wait for a slot; give an ending when there is none in time."""
 
-    def leave(self, visit: Visit, took_s: float) -> None:
+    def leave(self, request: AdmissionRequest, took_s: float) -> None:
         """Give the slot back."""
 
 
-class Desk:
+class HandlerContext:
     """Hold what every handler needs."""
 
     __slots__ = (
@@ -80,7 +80,7 @@
         self,
         dispatcher: Dispatcher,
         routes: Routes,
-        gate: Gate,
+        gate: AdmissionGate,
         clock: Clock,
         metrics: Metrics,
         timeout_s: float,
@@ -97,9 +97,9 @@
         self.deployment = Deployment()
 
 
-class _Base(RequestHandler):
-    def initialize(self, desk: Desk) -> None:
-        self.desk = desk
+class _BaseHandler(RequestHandler):
+    def initialize(self, context: HandlerContext) -> None:
+        self.context = context
 
     def data_received(self, chunk: bytes) -> None:
         """Take no streamed bodies."""
@@ -113,10 +113,12 @@
         self.clear_header('Content-Type')
         self.clear_header('Date')
 
-    def end(self, ending: Ending) -> None:
+    def end_unanswered(self, ending: Ending) -> None:
         """Tell the caller at once how a call without an answer ended."""
         outcome = 'not-run' if ending.outcome == Outcome.NOT_RUN else 'unknown'
-        fallback = _UNAVAILABLE if outcome == 'not-run' else _GATEWAY
+        fallback = (
+            _UNAVAILABLE_STATUS if outcome == 'not-run' else _BAD_GATEWAY_STATUS
+        )
         self.set_status(_STATUSES.get(ending.code, fallback))
         self.set_header(OUTCOME_HEADER, outcome)
         self.set_header(CODE_HEADER, ending.code)
@@ -129,7 +131,7 @@
         )
 
 
-class _Answer:
+class _AnswerWriter:
     """Write an endpoint's answer to the caller as it comes."""
 
     def __init__(self, handler: '_CallHandler') -> None:
@@ -167,50 +169,50 @@
             await taken
 
 
-class _CallHandler(_Base):
+class _CallHandler(_BaseHandler):
     """Run one call and write how it ended."""
 
-    def initialize(self, desk: Desk) -> None:
+    def initialize(self, context: HandlerContext) -> None:
         """Share the desk; nothing is under way yet."""
-        super().initialize(desk)
-        self._work: asyncio.Future[Ending] | None = None
+        super().initialize(context)
+        self._running_call: asyncio.Future[Ending] | None = None
 
     def on_connection_close(self) -> None:
         """Stop the work that nobody waits for."""
-        if self._work is not None:
-            self._work.cancel()
+        if self._running_call is not None:
+            self._running_call.cancel()
 
     async def run_call(self, call: Call) -> None:
         """Admit, dispatch and finish."""
-        desk = self.desk
-        visit = Visit(
+        context = self.context
+        admission_request = AdmissionRequest(
             call.target,
             self.request.headers.get(ORGANISATION_HEADER, ''),
             call.deadline,
-            priority(self.request.headers.get(PRIORITY_HEADER, '')),
+            parse_priority(self.request.headers.get(PRIORITY_HEADER, '')),
         )
-        refused = await desk.gate.enter(visit)
+        refused = await context.gate.enter(admission_request)
         if refused is not None:
-            self.conclude(refused, _Answer(self))
+            self.finish_call(refused, _AnswerWriter(self))
             return
-        answer = _Answer(self)
-        began = desk.clock.now()
-        span = desk.traces.span('entry', call.traceparent)
+        answer = _AnswerWriter(self)
+        began = context.clock.now()
+        span = context.traces.span('entry', call.traceparent)
         call = dataclasses.replace(call, traceparent=span.traceparent)
-        self._work = asyncio.ensure_future(
-            desk.dispatcher.run(call, answer),
+        self._running_call = asyncio.ensure_future(
+            context.dispatcher.run(call, answer),
         )
         try:
-            ending = await self._work
+            ending = await self._running_call
         except (StreamClosedError, asyncio.CancelledError):
             log(Event.CALL_CUT, call=call.call_id, code='caller-gone')
             return
         finally:
-            desk.gate.leave(visit, desk.clock.now() - began)
+            context.gate.leave(admission_request, context.clock.now() - began)
             span.end(call=call.call_id)
-        self.conclude(ending, answer)
+        self.finish_call(ending, answer)
 
-    def conclude(self, ending: Ending, answer: _Answer) -> None:
+    def finish_call(self, ending: Ending, answer: _AnswerWriter) -> None:
         """Finish a whole answer, or say why there is none."""
         self._count(ending)
         if ending.outcome == Outcome.ANSWERED:
@@ -221,7 +223,7 @@
             self.request.connection.stream.close()  # type: ignore[union-attr]
         else:
             self.clear()
-            self.end(ending)
+            self.end_unanswered(ending)
 
     @property
     def headers_written(self) -> bool:
@@ -231,15 +233,15 @@
     def note_first_byte(self) -> None:
         """Note how long the caller waited for the head of its answer."""
         waited_ms = self.request.request_time() * _MILLISECONDS
-        self.desk.metrics.timing(Metric.FIRST_BYTE_MS, waited_ms)
+        self.context.metrics.timing(Metric.FIRST_BYTE_MS, waited_ms)
 
     def deadline(self) -> float:
         """Give the caller's deadline, within the entry's own limit."""
-        wished = self.request.headers.get(DEADLINE_HEADER, '')
-        limit_s = self.desk.timeout_s
-        if wished.isdecimal():
-            limit_s = min(limit_s, int(wished) / _MILLISECONDS)
-        return self.desk.clock.now() + limit_s
+        requested = self.request.headers.get(DEADLINE_HEADER, '')
+        limit_s = self.context.timeout_s
+        if requested.isdecimal():
+            limit_s = min(limit_s, int(requested) / _MILLISECONDS)
+        return self.context.clock.now() + limit_s
 
     def _count(self, ending: Ending) -> None:
         metric = {
@@ -247,7 +249,7 @@
             Outcome.NOT_RUN: Metric.CALLS_NOT_RUN,
             Outcome.UNKNOWN: Metric.CALLS_UNKNOWN,
         }[ending.outcome]
-        self.desk.metrics.count(metric)
+        self.context.metrics.count(metric)
 
 
 class CompletionHandler(_CallHandler):
@@ -258,7 +260,7 @@
         try:
             req = read_completion(self.request.body)
         except CallError as exc:
-            self.end(not_run(Code.BAD_REQUEST, exc.detail))
+            self.end_unanswered(not_run(Code.BAD_REQUEST, exc.detail))
             return
         call = Call(
             call_id=secrets.token_hex(8),
@@ -279,15 +281,15 @@
 
     async def handle(self, name: str) -> None:
         """Answer any method under /services/NAME/."""
-        service = find_service(self.desk.deployment, name)
+        service = find_service(self.context.deployment, name)
         path = service_path(self.request, name)
-        once = service is not None and runs_once(service, path)
+        is_once = service is not None and runs_once(service, path)
         key = self.request.headers.get(KEY_HEADER, '')
         method = self.request.method or 'GET'
         try:
-            want = wanted(name, key)
+            want = service_want(name, key)
         except CallError as exc:
-            self.end(not_run(Code.KEY_MALFORMED, exc.detail))
+            self.end_unanswered(not_run(Code.KEY_MALFORMED, exc.detail))
             return
         call = Call(
             call_id=secrets.token_hex(8),
@@ -298,8 +300,8 @@
             headers=tuple(header_lines(self.request)),
             body=self.request.body,
             deadline=self.deadline(),
-            may_repeat=method in _SAFE_METHODS and not (once or key),
-            at_most_once=once or bool(key),
+            may_repeat=method in _SAFE_METHODS and not (is_once or key),
+            at_most_once=is_once or bool(key),
             key=key,
             traceparent=self.request.headers.get('traceparent', ''),
         )
@@ -314,7 +316,7 @@
     options = handle
 
 
-class KeysHandler(_Base):
+class KeysHandler(_BaseHandler):
     """Mint keys for calls that run at most once."""
 
     def post(self) -> None:
@@ -323,16 +325,18 @@
         count = self.get_argument('count', '1')
         if not count.isdecimal() or not 1 <= int(count) <= _MAX_KEYS:
             detail = f'count: found {count!r}, allowed is 1 to {_MAX_KEYS}'
-            self.end(not_run(Code.BAD_REQUEST, detail))
+            self.end_unanswered(not_run(Code.BAD_REQUEST, detail))
             return
         want = Want(name)
-        now = self.desk.clock.now()
-        member = self.desk.routes.choose(want, (), now)
+        now = self.context.clock.now()
+        member = self.context.routes.choose(want, (), now)
         if member is None:
-            self.end(not_run(Code.NO_ENDPOINT, name))
+            self.end_unanswered(not_run(Code.NO_ENDPOINT, name))
             return
-        minted = [mint(member, secrets.token_hex(8)) for _ in range(int(count))]
-        self.finish({'keys': minted})
+        new_keys = [
+            mint_key(member, secrets.token_hex(8)) for _ in range(int(count))
+        ]
+        self.finish({'keys': new_keys})
 
 
 class HealthHandler(RequestHandler):
@@ -346,7 +350,7 @@
         """Answer 200 when ready, else 503 with the reason."""
         reason = self.ready.reason()
         if reason:
-            self.set_status(_UNAVAILABLE)
+            self.set_status(_UNAVAILABLE_STATUS)
         self.finish({'ready': not reason, 'reason': reason})
 
     def data_received(self, chunk: bytes) -> None:
@@ -360,9 +364,9 @@
         """Give the reason, or nothing when ready."""
 
 
-def application(desk: Desk, ready: Readiness) -> Application:
+def application(context: HandlerContext, ready: Readiness) -> Application:
     """Give the callers' side as a tornado application."""
-    shared = {'desk': desk}
+    shared = {'context': context}
     return Application(
         [
             (r'/v1/completions', CompletionHandler, shared),
@@ -401,16 +405,16 @@
         )
 
 
-def priority(text: str) -> int:
+def parse_priority(text: str) -> int:
     """Read a priority from 0, the lowest, to 9; anything else counts as 0."""
-    return min(MOST_PRIORITY, int(text)) if text.isdecimal() else 0
+    return min(MAX_PRIORITY, int(text)) if text.isdecimal() else 0
 
 
-def wanted(name: str, key: str) -> Want:
+def service_want(name: str, key: str) -> Want:
     """Give what a call to a service needs; a key names the one endpoint."""
     if not key:
         return Want(name)
-    parsed = keys.read(key)
+    parsed = keys.parse(key)
     return Want(name, vm=parsed.vm, incarnation=parsed.incarnation)
 
 
--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -21,69 +21,71 @@
 from typing import NamedTuple
 
 # So many lives may end under calls that are alike before these are refused.
-ENDS_BORNE = 2
+REFUSE_AFTER_CRASHES = 2
 # From the last end on; then one such call is tried, alone. It costs at most
 # one endpoint in so long, and twice as long each time that it ends one.
-REFUSED_FIRST_S = 60.0
-REFUSED_MOST_S = 600.0
+REFUSAL_FIRST_S = 60.0
+REFUSAL_MAX_S = 600.0
 # Calls like one that was answered before are tried this soon. If ends go on for
 # longer than the second, the answer says nothing of what such calls do now.
-REFUSED_ANSWERED_S = 1.0
-TRUSTED_ANSWERED_S = 1.5
+REFUSAL_ANSWERED_S = 1.0
+ANSWER_TRUST_S = 1.5
 # So long nobody else tries meanwhile: callers wait no longer for an answer.
-_TRIED_S = 10.0
+_TRIAL_S = 10.0
 # An end that nobody confirmed for so long counts no more; the store forgets it
 # by then, too.
-FORGOTTEN_S = 600.0
+CRASH_RECORD_TTL_S = 600.0
 # As many as 250 endpoints leave that crash with 16 calls each; the oldest go.
-_MOST_KEPT = 4096
-_LIFE_BYTES = 8
+_MAX_SUSPECTS = 4096
+_INCARNATION_DIGEST_BYTES = 8
 # What everybody sends is answered at least once in so many calls.
-_MOST_ANSWERED = 1024
+_MAX_ANSWERED = 1024
 
 
-class End(NamedTuple):
+class CrashRecord(NamedTuple):
     """One life of an endpoint that ended under calls that are alike."""
 
-    likeness: str
-    life: str
+    fingerprint: str
+    incarnation: str
 
 
-def life_digest(life: str) -> str:
+def incarnation_digest(incarnation: str) -> str:
     """Give a short name of a life, whatever the length of its own."""
-    digest = hashlib.blake2b(life.encode(), digest_size=_LIFE_BYTES)
+    digest = hashlib.blake2b(
+        incarnation.encode(), digest_size=_INCARNATION_DIGEST_BYTES
+    )
     return digest.hexdigest()
 
 
 class _Suspect:
     """Lives that ended under calls that are alike, and when."""
 
-    __slots__ = ('answered_before', 'ended_at', 'shared', 'tried_until')
+    __slots__ = ('answered_before', 'crashed_at', 'shared', 'trial_until')
 
     def __init__(self, *, answered_before: bool) -> None:
         self.answered_before = answered_before
-        self.ended_at: dict[str, float] = {}
+        self.crashed_at: dict[str, float] = {}
         # Those of them that all entries can read.
         self.shared: set[str] = set()
-        self.tried_until = float()
+        self.trial_until = float()
 
     @property
-    def refused(self) -> bool:
-        return len(self.ended_at) >= ENDS_BORNE
+    def is_refused(self) -> bool:
+        return len(self.crashed_at) >= REFUSE_AFTER_CRASHES
 
     @property
     def refused_until(self) -> float:
-        ended_at = sorted(self.ended_at.values())
+        crashed_at = sorted(self.crashed_at.values())
         if self.answered_before:
-            since = ended_at[ENDS_BORNE - 1]
-            if ended_at[-1] - since < TRUSTED_ANSWERED_S:
-                return ended_at[-1] + REFUSED_ANSWERED_S
-        more = len(ended_at) - ENDS_BORNE
-        refused_s = min(REFUSED_MOST_S, math.ldexp(REFUSED_FIRST_S, more))
-        return ended_at[-1] + refused_s
+            since = crashed_at[REFUSE_AFTER_CRASHES - 1]
+            if crashed_at[-1] - since < ANSWER_TRUST_S:
+                return crashed_at[-1] + REFUSAL_ANSWERED_S
+        more = len(crashed_at) - REFUSE_AFTER_CRASHES
+        refused_s = min(REFUSAL_MAX_S, math.ldexp(REFUSAL_FIRST_S, more))
+        return crashed_at[-1] + refused_s
 
 
-class Crashes:
+class CrashHistory:
     """Hold the calls under which endpoints ended, as far as is known here."""
 
     __slots__ = ('_answered', '_suspects')
@@ -94,93 +96,100 @@
         # The newest stand last.
         self._answered: dict[str, None] = {}
 
-    def ends(self, likeness: str) -> int:
+    def crash_count(self, fingerprint: str) -> int:
         """Give how many lives ended under calls like this."""
-        suspect = self._suspects.get(likeness)
-        return len(suspect.ended_at) if suspect else 0
+        suspect = self._suspects.get(fingerprint)
+        return len(suspect.crashed_at) if suspect else 0
 
-    def wait_s(self, likeness: str, now: float) -> float:
+    def refused_for_s(self, fingerprint: str, now: float) -> float:
         """Give for how long a call is refused; with 0 it may go."""
-        suspect = self._suspects.get(likeness)
-        if suspect is None or not suspect.refused:
+        suspect = self._suspects.get(fingerprint)
+        if suspect is None or not suspect.is_refused:
             return 0
-        return max(0, max(suspect.refused_until, suspect.tried_until) - now)
+        return max(0, max(suspect.refused_until, suspect.trial_until) - now)
 
-    def goes(self, likeness: str, now: float) -> None:
+    def note_admitted(self, fingerprint: str, now: float) -> None:
         """Note that a call goes; after a refusal it is tried alone.
 
         Others like it are refused until it is over.
         """
-        suspect = self._suspects.get(likeness)
-        if suspect is not None and suspect.refused:
-            suspect.tried_until = now + _TRIED_S
+        suspect = self._suspects.get(fingerprint)
+        if suspect is not None and suspect.is_refused:
+            suspect.trial_until = now + _TRIAL_S
 
-    def may_go_again(self, likeness: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Tell whether a call may be sent to a second endpoint."""
-        return self.ends(likeness) < ENDS_BORNE
+        return self.crash_count(fingerprint) < REFUSE_AFTER_CRASHES
 
-    def ended(self, end: End, at: float, *, shared: bool = False) -> bool:
+    def add(
+        self, record: CrashRecord, at: float, *, shared: bool = False
+    ) -> bool:
         """Take in an end; tell whether it is news."""
-        suspect = self._suspects.pop(end.likeness, None) or _Suspect(
-            answered_before=end.likeness in self._answered,
+        suspect = self._suspects.pop(record.fingerprint, None) or _Suspect(
+            answered_before=record.fingerprint in self._answered,
         )
         # The newest stand last.
-        self._suspects[end.likeness] = suspect
-        while len(self._suspects) > _MOST_KEPT:
+        self._suspects[record.fingerprint] = suspect
+        while len(self._suspects) > _MAX_SUSPECTS:
             self._suspects.pop(next(iter(self._suspects)))
-        news = end.life not in suspect.ended_at
-        if news:
+        is_new = record.incarnation not in suspect.crashed_at
+        if is_new:
             # What was tried has ended, here or at another entry.
-            suspect.tried_until = float()
-        known_at = suspect.ended_at.get(end.life, at)
-        suspect.ended_at[end.life] = min(known_at, at)
+            suspect.trial_until = float()
+        known_at = suspect.crashed_at.get(record.incarnation, at)
+        suspect.crashed_at[record.incarnation] = min(known_at, at)
         if shared:
-            suspect.shared.add(end.life)
-        return news
+            suspect.shared.add(record.incarnation)
+        return is_new
 
-    def withdrawn(self, end: End) -> None:
+    def remove(self, record: CrashRecord) -> None:
         """Take in that an end counts no more for all entries."""
-        suspect = self._suspects.get(end.likeness)
+        suspect = self._suspects.get(record.fingerprint)
         if suspect is not None:
-            suspect.ended_at.pop(end.life, None)
-            suspect.shared.discard(end.life)
-            self._drop_if_clear(end.likeness, suspect)
+            suspect.crashed_at.pop(record.incarnation, None)
+            suspect.shared.discard(record.incarnation)
+            self._drop_if_clear(record.fingerprint, suspect)
 
-    def replaced(self, ends: Iterable[tuple[End, float]]) -> None:
+    def replace_shared(
+        self, records: Iterable[tuple[CrashRecord, float]]
+    ) -> None:
         """Take in all ends that entries share now, and since when."""
-        fresh = dict(ends)
-        for end in tuple(self._all_shared()):
-            if end not in fresh:
-                self.withdrawn(end)
-        for end, at in fresh.items():
-            self.ended(end, at, shared=True)
-
-    def answered(self, likeness: str) -> list[End]:
+        fresh = dict(records)
+        for record in tuple(self._all_shared()):
+            if record not in fresh:
+                self.remove(record)
+        for record, at in fresh.items():
+            self.add(record, at, shared=True)
+
+    def note_answered(self, fingerprint: str) -> list[CrashRecord]:
         """Clear calls that are alike; give the ends that were held."""
-        self._answered.pop(likeness, None)
-        self._answered[likeness] = None
-        if len(self._answered) > _MOST_ANSWERED:
+        self._answered.pop(fingerprint, None)
+        self._answered[fingerprint] = None
+        if len(self._answered) > _MAX_ANSWERED:
             self._answered.pop(next(iter(self._answered)))
-        suspect = self._suspects.pop(likeness, None)
+        suspect = self._suspects.pop(fingerprint, None)
         if suspect is None:
             return []
-        return [End(likeness, life) for life in suspect.ended_at]
+        return [
+            CrashRecord(fingerprint, incarnation)
+            for incarnation in suspect.crashed_at
+        ]
 
     def expire(self, now: float) -> None:
         """Forget what ended too long ago."""
-        for likeness, suspect in tuple(self._suspects.items()):
-            suspect.ended_at = {
-                life: at
-                for life, at in suspect.ended_at.items()
-                if now - at < FORGOTTEN_S
+        for fingerprint, suspect in tuple(self._suspects.items()):
+            suspect.crashed_at = {
+                incarnation: at
+                for incarnation, at in suspect.crashed_at.items()
+                if now - at < CRASH_RECORD_TTL_S
             }
-            self._drop_if_clear(likeness, suspect)
+            self._drop_if_clear(fingerprint, suspect)
 
-    def _drop_if_clear(self, likeness: str, suspect: _Suspect) -> None:
-        if not suspect.ended_at:
-            self._suspects.pop(likeness)
+    def _drop_if_clear(self, fingerprint: str, suspect: _Suspect) -> None:
+        if not suspect.crashed_at:
+            self._suspects.pop(fingerprint)
 
-    def _all_shared(self) -> Iterator[End]:
-        for likeness, suspect in self._suspects.items():
-            for life in suspect.shared:
-                yield End(likeness, life)
+    def _all_shared(self) -> Iterator[CrashRecord]:
+        for fingerprint, suspect in self._suspects.items():
+            for incarnation in suspect.shared:
+                yield CrashRecord(fingerprint, incarnation)
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -9,62 +9,70 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from linnetwood.calls.crashes import Crashes, End, life_digest
+from linnetwood.calls.crashes import (
+    CrashHistory,
+    CrashRecord,
+    incarnation_digest,
+)
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.core.clock import Clock
 from linnetwood.core.events import Event, log
 
 # A process that ended refuses connections at once; one that is ending may take
 # a last one, so it is looked at twice.
-_LOOKS_S = (0, 0.25)
+_PROBE_PAUSES_S = (0, 0.25)
 # Whoever says nothing, as a VM without power, may come back as another life;
 # one that ended is listed again after some seconds.
-_BACK_LOOKS = 16
-_BACK_LOOK_S = 0.5
+_RESTART_CHECKS = 16
+_RESTART_CHECK_S = 0.5
 # A call that ends an endpoint does so in its first passes; one whose events
 # came for so long is not the cause.
-_RUNNING_WELL_S = 1.0
+_HEALTHY_STREAM_S = 1.0
 # An endpoint has no more calls of one entry under way.
-_MOST_SUSPECTS = 64
-_SHOWN = 8
+_MAX_SUSPECTS = 64
+_MAX_LOGGED = 8
 
-Refuses = Callable[[str, int], Awaitable[bool]]
+ConnectionProbe = Callable[[str, int], Awaitable[bool]]
 
 
-class Ends(Protocol):
+class CrashObserver(Protocol):
     """What a dispatcher tells of the calls that it runs."""
 
-    def lost(self, likeness: str, one: Listed, heard_s: float) -> None:
+    def note_lost(
+        self, fingerprint: str, endpoint: Listed, streamed_s: float
+    ) -> None:
         """Note that an answer broke off; events had come for so long."""
 
-    def answered(self, likeness: str) -> None:
+    def note_answered(self, fingerprint: str) -> None:
         """Note that a call was answered: it ends no endpoint."""
 
-    def may_go_again(self, likeness: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Tell whether a call may be sent to a second endpoint."""
 
 
-class Unwatched:
+class NoCrashWatch:
     """Suspect nobody."""
 
-    def lost(self, likeness: str, one: Listed, heard_s: float) -> None:
+    def note_lost(
+        self, fingerprint: str, endpoint: Listed, streamed_s: float
+    ) -> None:
         """Note nothing."""
 
-    def answered(self, likeness: str) -> None:
+    def note_answered(self, fingerprint: str) -> None:
         """Note nothing."""
 
-    def may_go_again(self, likeness: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Let every call go."""
         return True
 
 
-class Telling(Protocol):
+class CrashReports(Protocol):
     """Tell other entries."""
 
-    def share(self, end: End) -> None:
+    def share(self, record: CrashRecord) -> None:
         """Tell of an end."""
 
-    def withdraw(self, end: End) -> None:
+    def withdraw(self, record: CrashRecord) -> None:
         """Tell that an end counts no more."""
 
 
@@ -73,100 +81,105 @@
 
     def __init__(
         self,
-        crashes: Crashes,
+        crashes: CrashHistory,
         directory: Directory,
         clock: Clock,
-        refuses: Refuses,
-        telling: Telling,
+        is_refused: ConnectionProbe,
+        reports: CrashReports,
     ) -> None:
         """Look at nobody yet."""
         self._crashes = crashes
         self._directory = directory
         self._clock = clock
-        self._refuses = refuses
-        self._telling = telling
+        self._is_refused = is_refused
+        self._reports = reports
         self._suspects: dict[str, dict[str, float]] = {}
-        self._looking: dict[str, asyncio.Task[None]] = {}
+        self._checks: dict[str, asyncio.Task[None]] = {}
 
     async def close(self) -> None:
         """Look at nobody any more."""
-        tasks = list(self._looking.values())
+        tasks = list(self._checks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def lost(self, likeness: str, one: Listed, heard_s: float) -> None:
+    def note_lost(
+        self, fingerprint: str, endpoint: Listed, streamed_s: float
+    ) -> None:
         """Suspect a call, until it is known why its answer broke off."""
-        if not likeness or heard_s >= _RUNNING_WELL_S:
+        if not fingerprint or streamed_s >= _HEALTHY_STREAM_S:
             return
-        listed = self._directory.get(one.endpoint)
+        listed = self._directory.get(endpoint.endpoint)
         if listed is None or not listed.ready:
             # Its end was told beforehand.
             return
-        suspects = self._suspects.setdefault(one.life, {})
-        if len(suspects) < _MOST_SUSPECTS:
-            suspects[likeness] = self._clock.now()
-        if one.life not in self._looking:
-            task = asyncio.create_task(self._look(one))
-            self._looking[one.life] = task
-
-    def answered(self, likeness: str) -> None:
+        suspects = self._suspects.setdefault(endpoint.life, {})
+        if len(suspects) < _MAX_SUSPECTS:
+            suspects[fingerprint] = self._clock.now()
+        if endpoint.life not in self._checks:
+            task = asyncio.create_task(self._check(endpoint))
+            self._checks[endpoint.life] = task
+
+    def note_answered(self, fingerprint: str) -> None:
         """Clear calls like this one, here and for all entries."""
-        ends = self._crashes.answered(likeness)
-        if not ends:
+        records = self._crashes.note_answered(fingerprint)
+        if not records:
             return
-        log(Event.SUSPECT_CLEARED, likeness=likeness, ends=len(ends))
-        for end in ends:
-            self._telling.withdraw(end)
+        log(Event.SUSPECT_CLEARED, likeness=fingerprint, ends=len(records))
+        for record in records:
+            self._reports.withdraw(record)
 
-    def may_go_again(self, likeness: str) -> bool:
+    def may_retry(self, fingerprint: str) -> bool:
         """Tell whether a call may be sent to a second endpoint."""
-        return self._crashes.may_go_again(likeness)
+        return self._crashes.may_retry(fingerprint)
 
-    async def _look(self, one: Listed) -> None:
+    async def _check(self, endpoint: Listed) -> None:
         try:
-            why = await self._why_lost(one)
-            while why and self._suspects.get(one.life):
-                self._note(one, why)
+            why = await self._crash_evidence(endpoint)
+            while why and self._suspects.get(endpoint.life):
+                self._record_crash(endpoint, why)
                 # Other answers break off within milliseconds of the first.
-                await asyncio.sleep(_BACK_LOOK_S)
+                await asyncio.sleep(_RESTART_CHECK_S)
         finally:
-            self._suspects.pop(one.life, None)
-            self._looking.pop(one.life, None)
+            self._suspects.pop(endpoint.life, None)
+            self._checks.pop(endpoint.life, None)
 
-    async def _why_lost(self, one: Listed) -> str:
+    async def _crash_evidence(self, endpoint: Listed) -> str:
         """Give what shows that the life has ended, or nothing."""
-        for pause_s in _LOOKS_S:
+        for pause_s in _PROBE_PAUSES_S:
             await asyncio.sleep(pause_s)
-            if await self._refuses(one.host, one.port):
+            if await self._is_refused(endpoint.host, endpoint.port):
                 return 'refused'
-        for _ in range(_BACK_LOOKS):
-            if self._is_another(one):
+        for _ in range(_RESTART_CHECKS):
+            if self._is_replaced(endpoint):
                 return 'another life'
-            await asyncio.sleep(_BACK_LOOK_S)
+            await asyncio.sleep(_RESTART_CHECK_S)
         return ''
 
-    def _is_another(self, one: Listed) -> bool:
-        there = self._directory.at_host(one.host)
-        if there is None or there.port != one.port:
+    def _is_replaced(self, endpoint: Listed) -> bool:
+        current = self._directory.at_host(endpoint.host)
+        if current is None or current.port != endpoint.port:
             return False
-        return there.life != one.life and there.service == one.service
+        return (
+            current.life != endpoint.life
+            and current.service == endpoint.service
+        )
 
-    def _note(self, one: Listed, why: str) -> None:
-        suspects = self._suspects[one.life]
+    def _record_crash(self, endpoint: Listed, why: str) -> None:
+        suspects = self._suspects[endpoint.life]
         log(
             Event.ENDPOINT_CRASHED,
-            endpoint=one.endpoint,
-            born=one.born,
-            service=one.service,
+            endpoint=endpoint.endpoint,
+            born=endpoint.born,
+            service=endpoint.service,
             why=why,
             calls=len(suspects),
-            likenesses=list(suspects)[:_SHOWN],
+            likenesses=list(suspects)[:_MAX_LOGGED],
         )
         self._crashes.expire(self._clock.now())
-        digest = life_digest(one.life)
-        for likeness, at in suspects.items():
-            end = End(likeness, digest)
-            if self._crashes.ended(end, at):
-                self._telling.share(end)
+        digest = incarnation_digest(endpoint.life)
+        for fingerprint, at in suspects.items():
+            record = CrashRecord(fingerprint, digest)
+            if self._crashes.add(record, at):
+                self._reports.share(record)
         suspects.clear()
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -22,7 +22,7 @@
     Relay,
 )
 from linnetwood.calls.choice import Choice, Chooser, Need
-from linnetwood.calls.crashwatch import Ends, Unwatched
+from linnetwood.calls.crashwatch import CrashObserver, NoCrashWatch
 from linnetwood.calls.dialect import CallHead, Dialect, Errand, Urgency
 from linnetwood.calls.directory import Listed
 from linnetwood.calls.grounds import Grounds
@@ -78,7 +78,7 @@
     grounds: Grounds = Grounds()
     reach: Reach = ANYWHERE
     # What it shares with calls that ask the same; nothing where unknown.
-    likeness: str = ''
+    fingerprint: str = ''
 
     @property
     def repeatable(self) -> bool:
@@ -113,7 +113,7 @@
     ) -> None:
         """Use the given parts; know no retry budgets yet."""
         self.retry_bounds = RetryBounds()
-        self.ends: Ends = Unwatched()
+        self.crash_observer: CrashObserver = NoCrashWatch()
         # Told of each endpoint that has said something of itself just now.
         self.noticed: Callable[[Listed, float], None] = _tell_nobody
         self._budgets: dict[str, RetryBudget] = {}
@@ -221,7 +221,7 @@
         standing = self._chooser.standing(choice.endpoint.life)
         sending = Sending(
             call.head.call_id,
-            call.likeness,
+            call.fingerprint,
             call.route,
             choice,
             urgency,
@@ -250,7 +250,7 @@
             waiting.over()
             standing.ended()
         self._learn(call.service, sending, attempt, end)
-        self._tell_end(call, choice, attempt, end)
+        self._report_crash_evidence(call, choice, attempt, end)
         if end.how is How.STALLED and not attempt.first_heard:
             self._learn_wait(call, sending)
         tell(sending, attempt, end, self._loop.time())
@@ -372,7 +372,7 @@
         elif end.how in {How.FAILED, How.LOST}:
             standing.failed()
 
-    def _tell_end(
+    def _report_crash_evidence(
         self,
         call: DirectCall,
         choice: Choice,
@@ -384,10 +384,12 @@
             heard_s = float()
             if attempt.first_heard:
                 heard_s = self._loop.time() - attempt.first_heard
-            self.ends.lost(call.likeness, choice.endpoint, heard_s)
+            self.crash_observer.note_lost(
+                call.fingerprint, choice.endpoint, heard_s
+            )
         elif end.how in {How.ANSWERED, How.FAILED}:
             # An endpoint that says so has outlived the call.
-            self.ends.answered(call.likeness)
+            self.crash_observer.note_answered(call.fingerprint)
 
     def _again(
         self,
@@ -405,7 +407,7 @@
             return False
         if relay.begun and call.route.repeat is not Repeat.RESUME:
             return False
-        if not self.ends.may_go_again(call.likeness):
+        if not self.crash_observer.may_retry(call.fingerprint):
             return False
         return not end.reached or budget.spend()
 
--- a/src/linnetwood/calls/dispatch.py
+++ b/src/linnetwood/calls/dispatch.py
@@ -25,7 +25,7 @@
 from linnetwood.wire.frames import FrameKind, FrameStream
 
 _MILLISECONDS = 1000
-_FRESH_KEY_REFUSALS = frozenset(
+_UNUSED_KEY_REFUSALS = frozenset(
     (Code.KEY_OTHER_OWNER.value, Code.KEY_EXPIRED.value),
 )
 
@@ -80,7 +80,7 @@
     def __init__(
         self,
         routes: Routes,
-        dialler: Pool,
+        pool: Pool,
         clock: Clock,
         metrics: Metrics,
         probe: Callable[[Member], None] | None = None,
@@ -88,7 +88,7 @@
         """Share one retry budget among all calls."""
         self.attempts = 0
         self._routes = routes
-        self._dialler = dialler
+        self._pool = pool
         self._clock = clock
         self._metrics = metrics
         self._probe = probe
@@ -97,7 +97,7 @@
     async def run(self, call: Call, sink: AnswerSink) -> Ending:
         """Run a call and say how it ended."""
         self._budget.earn()
-        self._ask_load(call.want)
+        self._probe_load(call.want)
         tried: set[str] = set()
         endings: list[Ending] = []
         for _ in range(MAX_ATTEMPTS):
@@ -105,31 +105,33 @@
             if member is None:
                 break
             tried.add(member.vm)
-            attempt = self._prepare(call, member)
-            endings.append(await self._try(call, member, attempt, sink))
-            if not self._again(call, endings[-1], attempt):
+            attempt = self._new_attempt(call, member)
+            endings.append(await self._run_attempt(call, member, attempt, sink))
+            if not self._should_retry(call, endings[-1], attempt):
                 break
-        return conclude(endings) if endings else self._nobody(call)
+        return conclude(endings) if endings else self._no_endpoint_ending(call)
 
-    def _ask_load(self, want: Want) -> None:
+    def _probe_load(self, want: Want) -> None:
         member = self._routes.sample(want) if self._probe else None
         if member is not None and self._probe is not None:
             self._probe(member)
 
-    def _again(self, call: Call, ending: Ending, attempt: _Attempt) -> bool:
+    def _should_retry(
+        self, call: Call, ending: Ending, attempt: _Attempt
+    ) -> bool:
         if call.key:
             return False
-        safe = may_retry(
+        is_safe = may_retry(
             ending,
             may_repeat=call.may_repeat,
             begun=attempt.begun,
         )
-        if not safe or not self._budget.spend():
+        if not is_safe or not self._budget.spend():
             return False
         self._metrics.count(Metric.CALLS_RETRIED)
         return True
 
-    def _nobody(self, call: Call) -> Ending:
+    def _no_endpoint_ending(self, call: Call) -> Ending:
         if call.key:
             # An earlier attempt under this key may have run at its owner.
             return unknown(Code.KEY_OTHER_OWNER, call.key)
@@ -137,13 +139,13 @@
             return not_run(Code.UNKNOWN_TARGET, call.target)
         return not_run(Code.NO_ENDPOINT, call.target)
 
-    def _prepare(self, call: Call, member: Member) -> _Attempt:
+    def _new_attempt(self, call: Call, member: Member) -> _Attempt:
         key = call.key
         if call.at_most_once and not key:
-            key = mint(member, call.call_id)
+            key = mint_key(member, call.call_id)
         return _Attempt(key, member.serving if call.want.model else '')
 
-    async def _try(
+    async def _run_attempt(
         self,
         call: Call,
         member: Member,
@@ -161,23 +163,25 @@
                 stream = await self._connect(address, call)
                 ending = await self._exchange(call, attempt, stream, sink)
         except TimeoutError:
-            ending = self._lost(call, attempt, Code.LATE, 'deadline passed')
+            ending = self._failure_ending(
+                call, attempt, Code.LATE, 'deadline passed'
+            )
         except (WireError, CodecError) as exc:
             code = Code.CONNECTION_LOST if attempt.sent else Code.CONNECT_FAILED
-            ending = self._lost(call, attempt, code, str(exc))
+            ending = self._failure_ending(call, attempt, code, str(exc))
             load.failed_at = self._clock.now()
         finally:
             load.sent -= 1
             self._release(address, stream, ending)
-        return self._translate(call, ending)
+        return self._caller_ending(call, ending)
 
     async def _connect(self, address: Address, call: Call) -> FrameStream:
         if call.may_repeat:
-            kept = self._dialler.reuse(address)
-            if kept is not None:
-                return kept
+            idle_stream = self._pool.reuse(address)
+            if idle_stream is not None:
+                return idle_stream
         # A kept connection may have died unseen, and the call with it.
-        return await self._dialler.dial(address)
+        return await self._pool.dial(address)
 
     def _release(
         self,
@@ -191,7 +195,7 @@
             # What may still come in must never reach another call.
             stream.close()
         else:
-            self._dialler.keep(address, stream)
+            self._pool.keep(address, stream)
 
     async def _exchange(
         self,
@@ -209,12 +213,12 @@
                 await sink.body(frame.payload)
             elif frame.kind == FrameKind.HEAD:
                 head = decode(Head, frame.payload)
-                if not _own(head, call, attempt):
+                if not _is_own_head(head, call, attempt):
                     return unknown(Code.WRONG_ANSWER, head.call_id)
                 attempt.begun = True
                 await sink.head(head, attempt.key)
             else:
-                return self._ended(frame.payload, call)
+                return self._read_ending(frame.payload, call)
 
     def _start(self, call: Call, attempt: _Attempt) -> Start:
         left_s = call.deadline - self._clock.now()
@@ -230,7 +234,7 @@
             traceparent=call.traceparent,
         )
 
-    def _ended(self, payload: bytes, call: Call) -> Ending:
+    def _read_ending(self, payload: bytes, call: Call) -> Ending:
         end = decode(End, payload)
         if end.call_id != call.call_id:
             return unknown(Code.WRONG_ANSWER, end.call_id)
@@ -243,7 +247,7 @@
             end.retry_after_ms,
         )
 
-    def _lost(
+    def _failure_ending(
         self,
         call: Call,
         attempt: _Attempt,
@@ -254,23 +258,25 @@
             return unknown(code, detail)
         return not_run(code, detail)
 
-    def _translate(self, call: Call, ending: Ending) -> Ending:
-        minted_here = call.at_most_once and not call.key
-        if minted_here and ending.code in _FRESH_KEY_REFUSALS:
+    def _caller_ending(self, call: Call, ending: Ending) -> Ending:
+        is_minted_here = call.at_most_once and not call.key
+        if is_minted_here and ending.code in _UNUSED_KEY_REFUSALS:
             # Nobody else knew the key, so nothing ran under it.
             return Ending(Outcome.NOT_RUN, ending.code, ending.detail)
         if call.key and ending.outcome == Outcome.NOT_RUN:
-            return self._not_run_now(ending)
+            return self._ending_of_keyed_call(ending)
         return ending
 
-    def _not_run_now(self, ending: Ending) -> Ending:
-        if ending.code in _OWNER_KNOWS:
+    def _ending_of_keyed_call(self, ending: Ending) -> Ending:
+        if ending.code in _OWNER_DECIDED_CODES:
             return ending
         # This attempt did not run, but an earlier one under the key may have.
         return Ending(Outcome.UNKNOWN, ending.code, ending.detail)
 
 
-_OWNER_KNOWS = frozenset((Code.KEYS_FULL.value, Code.KEY_MALFORMED.value))
+_OWNER_DECIDED_CODES = frozenset(
+    (Code.KEYS_FULL.value, Code.KEY_MALFORMED.value)
+)
 
 
 def conclude(endings: list[Ending]) -> Ending:
@@ -287,7 +293,7 @@
     return last
 
 
-def mint(member: Member, nonce: str) -> str:
+def mint_key(member: Member, nonce: str) -> str:
     """Give a key that only this incarnation of an endpoint can run."""
     return keys.Key(
         member.vm,
@@ -297,7 +303,7 @@
     ).text()
 
 
-def _own(head: Head, call: Call, attempt: _Attempt) -> bool:
+def _is_own_head(head: Head, call: Call, attempt: _Attempt) -> bool:
     if head.call_id != call.call_id:
         return False
     return not call.want.model or head.version == attempt.version
--- a/src/linnetwood/calls/fairness.py
+++ b/src/linnetwood/calls/fairness.py
@@ -12,19 +12,19 @@
 import math
 from collections.abc import Iterator, Mapping
 
-from linnetwood.calls.pacing import Pace
+from linnetwood.calls.pacing import BorrowPacer
 from linnetwood.core.outcomes import Code, Ending, not_run
 
 _DEFAULT_SHARE = 1
 # How many calls of its share an organisation may catch up with at once.
 _CATCH_UP_CALLS = 8
-_MEAN_WEIGHT = 0.1
-_FIRST_MEAN_S = 0.1
+_NEW_DURATION_WEIGHT = 0.1
+_INITIAL_MEAN_S = 0.1
 _MILLISECONDS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Bounds:
+class QueueLimits:
     """What a queue may hold, and for how long."""
 
     length: int = 256
@@ -39,7 +39,7 @@
     deadline: float
     number: int
     organisation: str = dataclasses.field(compare=False)
-    asked_at: float = dataclasses.field(compare=False)
+    queued_at: float = dataclasses.field(compare=False)
 
 
 class FairQueue:
@@ -47,30 +47,30 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        limits: QueueLimits,
         shares: Mapping[str, int],
-        pace: Pace | None = None,
+        pacer: BorrowPacer | None = None,
     ) -> None:
         """Start empty, with no slots known; lend slots at a pace, if any."""
         self.under_way = 0
         self.capacity = 1
         # When to look again: a slot is free then that was not lent before.
         self.resume_at: float | None = None
-        self._pace = pace
-        self._bounds = bounds
+        self._pacer = pacer
+        self._limits = limits
         self._shares = shares
         self._waiting: dict[str, list[Ticket]] = {}
-        self._finish: dict[str, float] = {}
-        self._virtual = float()
-        self._mean_s = _FIRST_MEAN_S
+        self._finish_tags: dict[str, float] = {}
+        self._virtual_time = float()
+        self._mean_s = _INITIAL_MEAN_S
         self._length = 0
-        self._numbers = 0
+        self._last_number = 0
 
     def __len__(self) -> int:
         """Give how many wait."""
         return self._length
 
-    def ask(
+    def submit(
         self,
         organisation: str,
         priority: int,
@@ -78,39 +78,45 @@
         now: float,
     ) -> Ticket | Ending | None:
         """Admit at once (None), queue (a ticket) or refuse (an ending)."""
-        if self.under_way < self.capacity and self._passes(organisation):
+        if self.under_way < self.capacity and self._may_skip_queue(
+            organisation
+        ):
             if self._length:
                 self._charge(organisation)
             else:
-                self._lend_freely(organisation)
+                self._admit_uncharged(organisation)
             self.under_way += 1
             return None
-        refused = self._refusal(organisation, deadline, now)
-        if refused is not None:
-            return refused
-        self._numbers += 1
-        ticket = Ticket(-priority, deadline, self._numbers, organisation, now)
+        refusal = self._refusal(organisation, deadline, now)
+        if refusal is not None:
+            return refusal
+        self._last_number += 1
+        ticket = Ticket(
+            -priority, deadline, self._last_number, organisation, now
+        )
         heapq.heappush(self._waiting.setdefault(organisation, []), ticket)
         self._length += 1
         return ticket
 
-    def done(self, took_s: float) -> None:
+    def release(self, took_s: float) -> None:
         """Note that a call ended and how long it held its slot."""
         self.under_way -= 1
-        self._mean_s += _MEAN_WEIGHT * (took_s - self._mean_s)
+        self._mean_s += _NEW_DURATION_WEIGHT * (took_s - self._mean_s)
 
-    def admitted(self, now: float) -> Iterator[tuple[Ticket, Ending | None]]:
+    def pop_admitted(
+        self, now: float
+    ) -> Iterator[tuple[Ticket, Ending | None]]:
         """Yield whom to let in now, and whom to refuse as too late."""
         self.resume_at = None
         while self._length and self.under_way < self.capacity:
-            organisation = self._first()
-            due = self._due(organisation)
-            if now < due:
-                self.resume_at = due
+            organisation = self._next_organisation()
+            admissible_at = self._admissible_at(organisation)
+            if now < admissible_at:
+                self.resume_at = admissible_at
                 return
             ticket = heapq.heappop(self._waiting[organisation])
             self._length -= 1
-            if self._too_late(ticket, now):
+            if self._is_too_late(ticket, now):
                 yield ticket, not_run(Code.LATE, 'waited too long')
                 continue
             self._admit(organisation, now)
@@ -133,83 +139,94 @@
         now: float,
     ) -> Ending | None:
         ahead = len(self._waiting.get(organisation, ()))
-        rate = self._fair_rate(organisation)
-        wait_s = ahead / rate
+        rate_per_s = self._fair_rate_per_s(organisation)
+        wait_s = ahead / rate_per_s
         after_ms = int(wait_s * _MILLISECONDS) + 1
-        if ahead >= self._allowed(organisation):
+        if ahead >= self._max_waiting(organisation):
             return not_run(Code.OVER_SHARE, organisation, after_ms)
-        if self._length >= self._bounds.length:
+        if self._length >= self._limits.length:
             return not_run(Code.QUEUE_FULL, after_ms=after_ms)
         left_s = deadline - now - self._mean_s
-        if wait_s > min(left_s, self._bounds.wait_s):
+        if wait_s > min(left_s, self._limits.wait_s):
             return not_run(Code.LATE, 'would come too late', after_ms)
         return None
 
-    def _fair_rate(self, organisation: str) -> float:
-        together = self.capacity / max(self._mean_s, 1 / _MILLISECONDS)
-        return together * self._fraction(organisation)
+    def _fair_rate_per_s(self, organisation: str) -> float:
+        total_per_s = self.capacity / max(self._mean_s, 1 / _MILLISECONDS)
+        return total_per_s * self._fraction(organisation)
 
     def _fraction(self, organisation: str) -> float:
-        busy = {name for name, waiting in self._waiting.items() if waiting}
-        busy.add(organisation)
-        return self._share(organisation) / sum(map(self._share, busy))
+        waiting_names = {
+            name for name, waiting in self._waiting.items() if waiting
+        }
+        waiting_names.add(organisation)
+        return self._share(organisation) / sum(map(self._share, waiting_names))
 
-    def _allowed(self, organisation: str) -> int:
-        return max(1, int(self._bounds.length * self._fraction(organisation)))
+    def _max_waiting(self, organisation: str) -> int:
+        return max(1, int(self._limits.length * self._fraction(organisation)))
 
     def _share(self, organisation: str) -> int:
         return self._shares.get(organisation, _DEFAULT_SHARE)
 
-    def _first(self) -> str:
+    def _next_organisation(self) -> str:
         return min(
             (name for name, waiting in self._waiting.items() if waiting),
-            key=self._start,
+            key=self._start_tag,
         )
 
-    def _passes(self, organisation: str) -> bool:
+    def _may_skip_queue(self, organisation: str) -> bool:
         """Tell whether a call need not wait for those in the queue."""
         if not self._length:
             return True
-        return self._within(organisation) and not self._waiting.get(
+        return self._is_within_share(organisation) and not self._waiting.get(
             organisation,
         )
 
-    def _within(self, organisation: str) -> bool:
+    def _is_within_share(self, organisation: str) -> bool:
         """Tell whether it used no more than its share of late."""
-        return self._finish.get(organisation, self._virtual) <= self._virtual
+        return (
+            self._finish_tags.get(organisation, self._virtual_time)
+            <= self._virtual_time
+        )
 
-    def _due(self, organisation: str) -> float:
+    def _admissible_at(self, organisation: str) -> float:
         """Give from when a free slot may go to an organisation."""
         # Slots are kept apart only for others, whom the shares name.
-        alone = len(self._shares) < 2
-        if self._pace is None or alone or self._within(organisation):
+        is_alone = len(self._shares) < 2
+        if (
+            self._pacer is None
+            or is_alone
+            or self._is_within_share(organisation)
+        ):
             return -math.inf
         free = self.capacity - self.under_way
-        return self._pace.next_at(self._mean_s, self.capacity, free)
+        return self._pacer.next_borrow_at(self._mean_s, self.capacity, free)
 
     def _admit(self, organisation: str, now: float) -> None:
-        if self._pace is not None and not self._within(organisation):
-            self._pace.lent(now)
+        if self._pacer is not None and not self._is_within_share(organisation):
+            self._pacer.note_borrowed(now)
         self._charge(organisation)
         self.under_way += 1
 
-    def _start(self, organisation: str) -> float:
+    def _start_tag(self, organisation: str) -> float:
         # Who was never seen left nothing of its share.
-        finish = self._finish.get(organisation, self._virtual)
-        return max(self._earliest(organisation), finish)
+        finish = self._finish_tags.get(organisation, self._virtual_time)
+        return max(self._earliest_start(organisation), finish)
 
     def _charge(self, organisation: str) -> None:
-        start = self._start(organisation)
-        self._virtual = max(self._virtual, start)
-        self._finish[organisation] = start + 1 / self._share(organisation)
+        start = self._start_tag(organisation)
+        self._virtual_time = max(self._virtual_time, start)
+        self._finish_tags[organisation] = start + 1 / self._share(organisation)
 
-    def _lend_freely(self, organisation: str) -> None:
+    def _admit_uncharged(self, organisation: str) -> None:
         """Charge nothing for a slot that nobody waits for."""
-        self._finish.setdefault(organisation, self._earliest(organisation))
+        self._finish_tags.setdefault(
+            organisation, self._earliest_start(organisation)
+        )
 
-    def _earliest(self, organisation: str) -> float:
-        return self._virtual - _CATCH_UP_CALLS / self._share(organisation)
+    def _earliest_start(self, organisation: str) -> float:
+        return self._virtual_time - _CATCH_UP_CALLS / self._share(organisation)
 
-    def _too_late(self, ticket: Ticket, now: float) -> bool:
-        waited = now - ticket.asked_at > self._bounds.wait_s
-        return waited or now + self._mean_s > ticket.deadline
+    def _is_too_late(self, ticket: Ticket, now: float) -> bool:
+        waited_too_long = now - ticket.queued_at > self._limits.wait_s
+        return waited_too_long or now + self._mean_s > ticket.deadline
--- a/src/linnetwood/calls/likeness.py
+++ b/src/linnetwood/calls/fingerprint.py
@@ -3,11 +3,11 @@
 import hashlib
 
 # So many bytes that no two calls of a fleet's life share a name by chance.
-LIKENESS_BYTES = 12
+FINGERPRINT_BYTES = 12
 _SEPARATOR = b'\0'
 
 
-def likeness(
+def call_fingerprint(
     organisation: str,
     method: str,
     host: str,
@@ -20,7 +20,7 @@
     caller is its organisation, since keys are replaced; a call without one
     is like those of all callers without one.
     """
-    digest = hashlib.blake2b(digest_size=LIKENESS_BYTES)
+    digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (organisation, method, host.lower(), target):
         # What callers write holds no such byte, so parts can't be shifted.
         # Stored names are JSON, which can escape half of a pair of units.
--- a/src/linnetwood/calls/front.py
+++ b/src/linnetwood/calls/front.py
@@ -203,7 +203,7 @@
             log(
                 Event.CALL_REFUSED,
                 call=call.head.call_id,
-                likeness=call.likeness,
+                likeness=call.fingerprint,
                 route=call.route.name,
                 code=admitted.code,
                 detail=admitted.detail,
@@ -217,7 +217,7 @@
                 if ending.outcome is Outcome.NOT_RUN
                 else Event.CALL_UNKNOWN,
                 call=call.head.call_id,
-                likeness=call.likeness,
+                likeness=call.fingerprint,
                 route=call.route.name,
                 code=ending.code,
                 detail=ending.detail,
--- a/src/linnetwood/calls/guard.py
+++ b/src/linnetwood/calls/guard.py
@@ -24,9 +24,9 @@
 
 _REFUSALS = MappingProxyType(
     {
-        keys.Admission.OTHER_OWNER: Code.KEY_OTHER_OWNER,
-        keys.Admission.EXPIRED: Code.KEY_EXPIRED,
-        keys.Admission.USED: Code.KEY_USED,
+        keys.KeyDecision.OTHER_OWNER: Code.KEY_OTHER_OWNER,
+        keys.KeyDecision.EXPIRED: Code.KEY_EXPIRED,
+        keys.KeyDecision.USED: Code.KEY_USED,
     },
 )
 
@@ -58,17 +58,19 @@
     return None
 
 
-class _Relay:
+class _AnswerForwarder:
     """Turn a back end's answer into frames for the entry."""
 
-    def __init__(self, stream: FrameStream, start: Start, load: int) -> None:
+    def __init__(
+        self, stream: FrameStream, start: Start, in_flight: int
+    ) -> None:
         self.status = 0
         self.headers: list[str] = []
         self.length = 0
-        self.small = bytearray()
+        self.kept_body = bytearray()
         self._stream = stream
         self._start = start
-        self._load = load
+        self._in_flight = in_flight
 
     def head(self, status: int, headers: list[str], version: str) -> None:
         """Send the head."""
@@ -79,7 +81,7 @@
             status=status,
             headers=headers,
             version=version,
-            in_flight=self._load,
+            in_flight=self._in_flight,
         )
         if not self._stream.closed:
             self._stream.send(FrameKind.HEAD, encode(head))
@@ -87,8 +89,8 @@
     def body(self, piece: bytes) -> None:
         """Send a piece; keep it too while the answer is small."""
         self.length += len(piece)
-        if self.length <= keys.REPLAY_BYTES:
-            self.small += piece
+        if self.length <= keys.MAX_STORED_ANSWER_BYTES:
+            self.kept_body += piece
         try:
             self._stream.send(FrameKind.BODY, piece)
         except WireError as exc:
@@ -123,9 +125,9 @@
         start.traceparent = span.traceparent
         ending = refusal(self.state, start)
         if ending is None:
-            ending = await self._admitted(stream, start, body)
+            ending = await self._run_with_key(stream, start, body)
         span.end(call=start.call_id, outcome=ending.outcome.name)
-        await self._finish(stream, start, ending)
+        await self._send_ending(stream, start, ending)
 
     def load(self) -> int:
         """Give how many calls are under way."""
@@ -135,52 +137,54 @@
         """Wait until no call is under way; tell whether that came in time."""
         return await happened(self.idle, limit_s)
 
-    async def _admitted(
+    async def _run_with_key(
         self,
         stream: FrameStream,
         start: Start,
         body: bytes,
     ) -> Ending:
         if not start.key:
-            return await self._run(stream, start, body, None)
+            return await self._run_counted(stream, start, body, None)
         try:
-            key = keys.read(start.key)
+            key = keys.parse(start.key)
         except CallError as exc:
             return not_run(Code.KEY_MALFORMED, exc.detail)
-        admission = self._memory.admit(key)
-        if admission is keys.Admission.RUN:
-            return await self._run(stream, start, body, key)
-        if admission is keys.Admission.REPLAY:
-            return self._replay(stream, start, key)
-        if admission is keys.Admission.FULL:
+        decision = self._memory.claim(key)
+        if decision is keys.KeyDecision.RUN:
+            return await self._run_counted(stream, start, body, key)
+        if decision is keys.KeyDecision.REPLAY:
+            return self._send_stored_answer(stream, start, key)
+        if decision is keys.KeyDecision.FULL:
             return not_run(Code.KEYS_FULL)
-        return unknown(_REFUSALS[admission], start.key)
+        return unknown(_REFUSALS[decision], start.key)
 
-    async def _run(
+    async def _run_counted(
         self,
         stream: FrameStream,
         start: Start,
         body: bytes,
         key: keys.Key | None,
     ) -> Ending:
-        relay = _Relay(stream, start, self.state.in_flight)
-        self._enter()
+        forwarder = _AnswerForwarder(stream, start, self.state.in_flight)
+        self._begin_call()
         try:
-            ending = await self._watched(stream, start, body, relay)
+            ending = await self._run_until_closed(
+                stream, start, body, forwarder
+            )
         finally:
-            self._leave()
+            self._end_call()
         if key is not None:
-            self._settle(key, ending, relay)
+            self._record_key_outcome(key, ending, forwarder)
         return ending
 
-    async def _watched(
+    async def _run_until_closed(
         self,
         stream: FrameStream,
         start: Start,
         body: bytes,
-        relay: _Relay,
+        forwarder: _AnswerForwarder,
     ) -> Ending:
-        run = asyncio.ensure_future(self._backend.run(start, body, relay))
+        run = asyncio.ensure_future(self._backend.run(start, body, forwarder))
         gone = asyncio.ensure_future(stream.wait_closed())
         await asyncio.wait((run, gone), return_when=asyncio.FIRST_COMPLETED)
         gone.cancel()
@@ -189,40 +193,42 @@
             await self._backend.cancel(start.call_id)
         return await run
 
-    def _settle(self, key: keys.Key, ending: Ending, relay: _Relay) -> None:
+    def _record_key_outcome(
+        self, key: keys.Key, ending: Ending, forwarder: _AnswerForwarder
+    ) -> None:
         if ending.outcome == Outcome.NOT_RUN:
             self._memory.release(key)
         elif ending.outcome == Outcome.ANSWERED:
-            if relay.length <= keys.REPLAY_BYTES:
-                replay = keys.Replay(
-                    relay.status,
-                    tuple(relay.headers),
-                    bytes(relay.small),
+            if forwarder.length <= keys.MAX_STORED_ANSWER_BYTES:
+                stored_answer = keys.StoredAnswer(
+                    forwarder.status,
+                    tuple(forwarder.headers),
+                    bytes(forwarder.kept_body),
                 )
-                self._memory.remember(key, replay)
+                self._memory.store_answer(key, stored_answer)
 
-    def _replay(
+    def _send_stored_answer(
         self,
         stream: FrameStream,
         start: Start,
         key: keys.Key,
     ) -> Ending:
-        replay = self._memory.replay(key)
-        relay = _Relay(stream, start, self.state.in_flight)
-        relay.head(replay.status, list(replay.headers), '')
-        relay.body(replay.body)
+        stored_answer = self._memory.stored_answer(key)
+        forwarder = _AnswerForwarder(stream, start, self.state.in_flight)
+        forwarder.head(stored_answer.status, list(stored_answer.headers), '')
+        forwarder.body(stored_answer.body)
         return ANSWERED
 
-    def _enter(self) -> None:
+    def _begin_call(self) -> None:
         self.state.in_flight += 1
         self.idle.clear()
 
-    def _leave(self) -> None:
+    def _end_call(self) -> None:
         self.state.in_flight -= 1
         if not self.state.in_flight:
             self.idle.set()
 
-    async def _finish(
+    async def _send_ending(
         self,
         stream: FrameStream,
         start: Start,
--- a/src/linnetwood/calls/keys.py
+++ b/src/linnetwood/calls/keys.py
@@ -14,10 +14,10 @@
 from linnetwood.core.outcomes import Code
 
 EPOCHS_KEPT = 3
-_PARTS = 4
-_MAX_KEY = 200
-REPLAY_BYTES = 4096
-REPLAYS_KEPT = 1024
+_KEY_FIELDS = 4
+_MAX_KEY_CHARS = 200
+MAX_STORED_ANSWER_BYTES = 4096
+MAX_STORED_ANSWERS = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,18 +34,22 @@
         return f'{self.vm}.{self.incarnation}.{self.epoch}.{self.nonce}'
 
 
-def read(text: str) -> Key:
+def parse(text: str) -> Key:
     """Take a key apart, or raise CallError."""
-    parts = text.rsplit('.', _PARTS - 1)
-    if len(text) > _MAX_KEY or len(parts) != _PARTS or not all(parts):
-        raise CallError(Code.KEY_MALFORMED.value, text[:_MAX_KEY])
-    vm, incarnation, epoch, nonce = parts
+    fields = text.rsplit('.', _KEY_FIELDS - 1)
+    if (
+        len(text) > _MAX_KEY_CHARS
+        or len(fields) != _KEY_FIELDS
+        or not all(fields)
+    ):
+        raise CallError(Code.KEY_MALFORMED.value, text[:_MAX_KEY_CHARS])
+    vm, incarnation, epoch, nonce = fields
     if not (incarnation.isdecimal() and epoch.isdecimal()):
         raise CallError(Code.KEY_MALFORMED.value, text)
     return Key(vm, int(incarnation), int(epoch), nonce)
 
 
-class Admission(enum.Enum):
+class KeyDecision(enum.Enum):
     """Say what may be done with a key."""
 
     RUN = 'run'
@@ -57,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Replay:
+class StoredAnswer:
     """A whole answer that was given, kept for a repeated key."""
 
     status: int
@@ -83,8 +87,8 @@
         self._epoch_s = epoch_s
         self._limit = limit
         self._since = now
-        self._taken: dict[int, set[str]] = {1: set()}
-        self._replays: OrderedDict[str, Replay] = OrderedDict()
+        self._claimed: dict[int, set[str]] = {1: set()}
+        self._stored_answers: OrderedDict[str, StoredAnswer] = OrderedDict()
 
     def advance(self, now: float) -> bool:
         """Begin a new epoch when it is time; tell whether it began."""
@@ -92,37 +96,37 @@
             return False
         self._since = now
         self.epoch += 1
-        self._taken[self.epoch] = set()
-        self._taken.pop(self.epoch - EPOCHS_KEPT, None)
+        self._claimed[self.epoch] = set()
+        self._claimed.pop(self.epoch - EPOCHS_KEPT, None)
         return True
 
-    def admit(self, key: Key) -> Admission:
+    def claim(self, key: Key) -> KeyDecision:
         """Take the key if it was never taken and could not have been."""
         if (key.vm, key.incarnation) != (self._vm, self._incarnation):
-            return Admission.OTHER_OWNER
-        taken = self._taken.get(key.epoch)
-        if taken is None:
-            return Admission.EXPIRED
-        if key.nonce in taken:
-            replay = key.text() in self._replays
-            return Admission.REPLAY if replay else Admission.USED
-        if sum(len(nonces) for nonces in self._taken.values()) >= self._limit:
-            return Admission.FULL
-        taken.add(key.nonce)
-        return Admission.RUN
+            return KeyDecision.OTHER_OWNER
+        claimed = self._claimed.get(key.epoch)
+        if claimed is None:
+            return KeyDecision.EXPIRED
+        if key.nonce in claimed:
+            is_stored = key.text() in self._stored_answers
+            return KeyDecision.REPLAY if is_stored else KeyDecision.USED
+        if sum(len(nonces) for nonces in self._claimed.values()) >= self._limit:
+            return KeyDecision.FULL
+        claimed.add(key.nonce)
+        return KeyDecision.RUN
 
     def release(self, key: Key) -> None:
         """Give a key back whose call surely never began."""
-        self._taken.get(key.epoch, set()).discard(key.nonce)
+        self._claimed.get(key.epoch, set()).discard(key.nonce)
 
-    def remember(self, key: Key, replay: Replay) -> None:
+    def store_answer(self, key: Key, stored_answer: StoredAnswer) -> None:
         """Keep a small whole answer for a repeated key."""
-        if len(replay.body) > REPLAY_BYTES:
+        if len(stored_answer.body) > MAX_STORED_ANSWER_BYTES:
             return
-        self._replays[key.text()] = replay
-        if len(self._replays) > REPLAYS_KEPT:
-            self._replays.popitem(last=False)
+        self._stored_answers[key.text()] = stored_answer
+        if len(self._stored_answers) > MAX_STORED_ANSWERS:
+            self._stored_answers.popitem(last=False)
 
-    def replay(self, key: Key) -> Replay:
+    def stored_answer(self, key: Key) -> StoredAnswer:
         """Give the answer kept for a key."""
-        return self._replays[key.text()]
+        return self._stored_answers[key.text()]
--- a/src/linnetwood/calls/quarantine.py
+++ b/src/linnetwood/calls/quarantine.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from linnetwood.calls.crashes import Crashes
+from linnetwood.calls.crashes import CrashHistory
 from linnetwood.calls.dialect import Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.core.clock import Clock
@@ -16,7 +16,9 @@
 class Quarantine:
     """Admit as another does, but for calls that endpoints crashed under."""
 
-    def __init__(self, crashes: Crashes, admit: Admit, clock: Clock) -> None:
+    def __init__(
+        self, crashes: CrashHistory, admit: Admit, clock: Clock
+    ) -> None:
         """Ask the other for all calls that are not refused."""
         self._crashes = crashes
         self._admit = admit
@@ -25,14 +27,14 @@
     def __call__(self, call: DirectCall) -> Urgency | Ending:
         """Give how urgent the call is, or why it is refused."""
         now = self._clock.now()
-        wait_s = self._crashes.wait_s(call.likeness, now)
+        wait_s = self._crashes.refused_for_s(call.fingerprint, now)
         if wait_s <= 0:
             admitted = self._admit(call)
             if not isinstance(admitted, Ending):
-                self._crashes.goes(call.likeness, now)
+                self._crashes.note_admitted(call.fingerprint, now)
             return admitted
-        ends = self._crashes.ends(call.likeness)
+        crash_count = self._crashes.crash_count(call.fingerprint)
         # It comes back when one like it is tried again: before that it would
         # only be refused.
         after_ms = int(wait_s * _MILLISECONDS)
-        return not_run(Code.ENDS_ENDPOINTS, f'{ends} ended', after_ms)
+        return not_run(Code.ENDS_ENDPOINTS, f'{crash_count} ended', after_ms)
--- a/src/linnetwood/calls/reading.py
+++ b/src/linnetwood/calls/reading.py
@@ -6,7 +6,7 @@
 from linnetwood.calls.dialect import CallHead, Dialect
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.grounds import Grounds
-from linnetwood.calls.likeness import likeness
+from linnetwood.calls.fingerprint import call_fingerprint
 from linnetwood.calls.reach import reach_of
 from linnetwood.calls.routebook import (
     Organisation,
@@ -78,7 +78,7 @@
         arrival.at + min(held_s(head), route.timeout_s),
         arrival.grounds,
         reach_of(route.regions, organisation.regions if organisation else ()),
-        likeness(
+        call_fingerprint(
             organisation.name if organisation else '',
             arrival.method,
             route.host,
--- a/src/linnetwood/lab/histories.py
+++ b/src/linnetwood/lab/histories.py
@@ -5,8 +5,8 @@
 import itertools
 from random import Random
 
-from linnetwood.calls.backend import Sink
-from linnetwood.calls.dispatch import Call, Dispatcher, mint
+from linnetwood.calls.backend import BackendSink
+from linnetwood.calls.dispatch import Call, Dispatcher, mint_key
 from linnetwood.calls.guard import Guard, GuardState
 from linnetwood.calls.keys import KeyMemory
 from linnetwood.calls.routing import POLICIES, Routes, Want
@@ -72,7 +72,7 @@
         self._history = history
         self._rng = rng
 
-    async def run(self, start: Start, body: bytes, sink: Sink) -> Ending:
+    async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Run a call, or fail before, during or after it."""
         chance = self._rng.random()
         if chance < 0.03:
@@ -280,7 +280,7 @@
         routes = self._rng.choice(self._routes)
         member = routes.choose(Want(_SERVICE), (), self._clock.now())
         if member is not None and self._rng.random() < 0.7:
-            key = mint(member, f'n{len(self._keys)}')
+            key = mint_key(member, f'n{len(self._keys)}')
             self._keys.append((mark, key))
         await self._send(mark, self._confirm(mark, key), once=True)
 
--- a/src/linnetwood/platform/endboard.py
+++ b/src/linnetwood/platform/crashstore.py
@@ -4,7 +4,11 @@
 import re
 from collections.abc import Callable, Sequence
 
-from linnetwood.calls.crashes import FORGOTTEN_S, Crashes, End
+from linnetwood.calls.crashes import (
+    CRASH_RECORD_TTL_S,
+    CrashHistory,
+    CrashRecord,
+)
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import ConfigError, StoreError
 from linnetwood.fleet.ranges import Change, Record, Snapshot
@@ -12,13 +16,13 @@
 from linnetwood.platform.ignored import Ignored
 from linnetwood.platform.store import LEASE_GONE, PlatformStore
 
-_KEY = re.compile(f'{records.END_PREFIX}([0-9a-f]{{24}})/([0-9a-f]{{16}})')
+_KEY = re.compile(f'{records.CRASH_PREFIX}([0-9a-f]{{24}})/([0-9a-f]{{16}})')
 # Entries of one transaction, as the platform allows.
-_MOST_ROWS = 32
+_MAX_KEYS_PER_WRITE = 32
 _NO_LEASE = 0
 
 
-class StoreEndBoard:
+class PlatformCrashStore:
     """Write ends under a lease, so that they go with nobody to take them away.
 
     One lease serves for half of its time: a crash then costs one call.
@@ -32,17 +36,19 @@
         self._lease_until = float()
 
     @property
-    def most(self) -> int:
+    def max_records(self) -> int:
         """Give how many ends one call may carry."""
-        return _MOST_ROWS
+        return _MAX_KEYS_PER_WRITE
 
-    async def write(self, share: Sequence[End], drop: Sequence[End]) -> None:
+    async def write(
+        self, added: Sequence[CrashRecord], removed: Sequence[CrashRecord]
+    ) -> None:
         """Write some ends and take away others, all or none."""
-        lease = await self._held() if share else _NO_LEASE
+        lease = await self._current_lease() if added else _NO_LEASE
         try:
             await self._store.write(
-                {end_key(end): b'' for end in share},
-                [end_key(end) for end in drop],
+                {crash_key(crash): b'' for crash in added},
+                [crash_key(crash) for crash in removed],
                 lease,
             )
         except StoreError as exc:
@@ -50,26 +56,26 @@
                 self._lease = _NO_LEASE
             raise
 
-    async def _held(self) -> int:
+    async def _current_lease(self) -> int:
         now = self._clock.now()
         if not self._lease or now >= self._lease_until:
-            self._lease = await self._store.lease(FORGOTTEN_S)
-            self._lease_until = now + FORGOTTEN_S / 2
+            self._lease = await self._store.lease(CRASH_RECORD_TTL_S)
+            self._lease_until = now + CRASH_RECORD_TTL_S / 2
         return self._lease
 
 
-class EndFeed:
+class CrashFeed:
     """Take in the ends that entries share."""
 
     def __init__(
         self,
-        crashes: Crashes,
+        crashes: CrashHistory,
         clock: Clock,
         ignored: Ignored | None = None,
-        gone: Callable[[End], None] | None = None,
+        removed: Callable[[CrashRecord], None] | None = None,
     ) -> None:
         """Keep them as the store has them; tell which are taken away."""
-        self._gone = gone or _tell_nobody
+        self._removed = removed or _ignore_removed
         self._crashes = crashes
         self._clock = clock
         self._ignored = ignored or Ignored()
@@ -77,47 +83,47 @@
     def replaced(self, found: Snapshot) -> None:
         """Take in all of them; one that nobody saw come counts from now."""
         now = self._clock.now()
-        ends = []
+        crashes = []
         for key, record in found.records.items():
-            end = self._read(key, record)
-            if end is not None:
+            crash = self._read(key, record)
+            if crash is not None:
                 age_s = found.ages.get(key, math.inf)
-                ends.append((end, now - _known_s(age_s)))
-        self._crashes.replaced(ends)
+                crashes.append((crash, now - _known_for_s(age_s)))
+        self._crashes.replace_shared(crashes)
 
     def changed(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
         now = self._clock.now()
         for change in changes:
-            end = self._read(change.key, change.record)
-            if end is None:
+            crash = self._read(change.key, change.record)
+            if crash is None:
                 continue
             if change.record is None:
-                self._crashes.withdrawn(end)
-                self._gone(end)
+                self._crashes.remove(crash)
+                self._removed(crash)
             else:
-                at = now - _known_s(change.age_s)
-                self._crashes.ended(end, at, shared=True)
+                at = now - _known_for_s(change.age_s)
+                self._crashes.add(crash, at, shared=True)
 
-    def _read(self, key: str, record: Record | None) -> End | None:
+    def _read(self, key: str, record: Record | None) -> CrashRecord | None:
         found = _KEY.fullmatch(key)
         if found is not None:
-            return End(found[1], found[2])
+            return CrashRecord(found[1], found[2])
         if record is not None:
             exc = ConfigError('end-malformed', key)
             self._ignored.note(key, record, exc)
         return None
 
 
-def _known_s(age_s: float) -> float:
+def _known_for_s(age_s: float) -> float:
     """Give an age as it counts: what nobody saw come counts from now."""
     return age_s if math.isfinite(age_s) else 0
 
 
-def _tell_nobody(end: End) -> None:
+def _ignore_removed(crash: CrashRecord) -> None:
     """Nobody here takes ends away."""
 
 
-def end_key(end: End) -> str:
+def crash_key(crash: CrashRecord) -> str:
     """Give the key under which an end stands."""
-    return f'{records.END_PREFIX}{end.likeness}/{end.life}'
+    return f'{records.CRASH_PREFIX}{crash.fingerprint}/{crash.incarnation}'
--- a/src/linnetwood/platform/feeds.py
+++ b/src/linnetwood/platform/feeds.py
@@ -14,7 +14,7 @@
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.platform import records
-from linnetwood.platform.endboard import EndFeed
+from linnetwood.platform.crashstore import CrashFeed
 from linnetwood.platform.ignored import Ignored
 
 
@@ -112,30 +112,30 @@
         self,
         operator: OperatorFeed,
         endpoints: 'EndpointFeed',
-        ends: EndFeed,
+        crashes: CrashFeed,
     ) -> None:
         """Hand each record to the feed of its prefix."""
         self._operator = operator
         self._endpoints = endpoints
-        self._ends = ends
+        self._crashes = crashes
 
     def replaced(self, found: Snapshot) -> None:
         """Take in everything that the store holds."""
         self._operator.replaced(_part(found, records.OPERATOR_PREFIX))
         self._endpoints.replaced(_part(found, records.ENDPOINT_PREFIX))
-        self._ends.replaced(_part(found, records.END_PREFIX))
+        self._crashes.replaced(_part(found, records.CRASH_PREFIX))
 
     def changed(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
         written = _under(records.OPERATOR_PREFIX, changes)
         listed = _under(records.ENDPOINT_PREFIX, changes)
-        ended = _under(records.END_PREFIX, changes)
+        ended = _under(records.CRASH_PREFIX, changes)
         if written:
             self._operator.changed(written)
         if listed:
             self._endpoints.changed(listed)
         if ended:
-            self._ends.changed(ended)
+            self._crashes.changed(ended)
 
     def away(self) -> None:
         """Doubt that what goes missing now is gone."""
--- a/src/linnetwood/platform/records.py
+++ b/src/linnetwood/platform/records.py
@@ -30,7 +30,7 @@
 EVACUATE_PREFIX = 'op/evacuate/'
 ENDPOINT_PREFIX = 'servers/'
 # What entries write themselves: a likeness and a life, both in hex.
-END_PREFIX = 'ends/'
+CRASH_PREFIX = 'ends/'
 
 _MILLISECONDS = 1000
 _MEGABIT_BYTES = 125000
--- a/src/linnetwood/platform/storesight.py
+++ b/src/linnetwood/platform/storesight.py
@@ -12,7 +12,7 @@
 _PREFIXES = (
     records.OPERATOR_PREFIX,
     records.ENDPOINT_PREFIX,
-    records.END_PREFIX,
+    records.CRASH_PREFIX,
 )
 _OTHERS = 'others'
 _NEVER_S = -1.0
--- a/src/linnetwood/programs/entry.py
+++ b/src/linnetwood/programs/entry.py
@@ -9,7 +9,7 @@
 from linnetwood.calls import callers
 from linnetwood.calls.admission import Admission
 from linnetwood.calls.dispatch import Dispatcher
-from linnetwood.calls.fairness import Bounds
+from linnetwood.calls.fairness import QueueLimits
 from linnetwood.calls.routing import POLICIES, Routes
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.events import Event, log
@@ -56,11 +56,11 @@
             self.node.gossip.probe,
         )
         self.gate = Admission(
-            Bounds(cfg.queue_limit, cfg.queue_wait_s),
+            QueueLimits(cfg.queue_limit, cfg.queue_wait_s),
             self.capacity,
             self.node.clock,
         )
-        self.desk = callers.Desk(
+        self.context = callers.HandlerContext(
             self.dispatcher,
             self.routes,
             self.gate,
@@ -71,8 +71,8 @@
         )
         self._leaving = False
         self._http = HTTPServer(
-            callers.application(self.desk, self),
-            max_body_size=callers.MAX_BODY,
+            callers.application(self.context, self),
+            max_body_size=callers.MAX_BODY_BYTES,
         )
         self._operators = OperatorServer(
             OperatorCalls(self.node),
@@ -112,7 +112,7 @@
         """Put a newer configuration in force."""
         self.routes.configured(configuration.deployment)
         self.gate.configured(configuration.deployment)
-        self.desk.deployment = configuration.deployment
+        self.context.deployment = configuration.deployment
 
     def capacity(self, target: str) -> int:
         """Give this entry's part of the slots that serve a target."""
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -31,7 +31,7 @@
 from linnetwood.programs.figures import FiguresPage
 from linnetwood.programs.listening import listen, readiness_server
 from linnetwood.programs.resident_calls import CallPath
-from linnetwood.programs.resident_ends import EndNews
+from linnetwood.programs.resident_crashes import CrashTracker
 from linnetwood.programs.resident_news import StoreNews
 from linnetwood.wire.curldriver import CurlDriver
 from linnetwood.wire.frames import FrameKind
@@ -81,9 +81,9 @@
         chooser = path.chooser
         self.dispatcher = path.dispatcher
         store = PlatformStore(cfg.store, self.driver)
-        ends = EndNews(store, self.directory, clock, rng)
-        self.dispatcher.ends = ends.watch
-        self._ends = ends
+        crashes = CrashTracker(store, self.directory, clock, rng)
+        self.dispatcher.crash_observer = crashes.watch
+        self._crashes = crashes
         self._tellers = Tellers(cfg.host, rng)
         self.reports = Reports(
             self.directory,
@@ -105,7 +105,7 @@
             lambda: self.book,
             self.dispatcher,
             path.dialect,
-            ends.before(path.entrance),
+            crashes.refuse_before(path.entrance),
             rng,
             metrics,
             self.vigil.grounds,
@@ -113,7 +113,7 @@
         metrics.gauge(Metric.CONFIG_VERSION, lambda: self.book.version)
         metrics.gauge(Metric.STORE_AGE_S, self.vigil.store_age_s)
         chooser.entries = lambda: self.reports.entries
-        ends.entries = chooser.entries
+        crashes.entries = chooser.entries
         self._figures = FiguresPage(metrics)
         wake = self.reports.wake
         ignored = Ignored(lambda: metrics.count(Metric.RECORDS_IGNORED))
@@ -127,7 +127,7 @@
                 lambda zones: self.directory.evacuate(zones, clock.now()),
             ),
             EndpointFeed(self.directory, clock, wake, ignored, cfg.regions),
-            ends.feed(ignored),
+            crashes.feed(ignored),
         )
         self._news = StoreNews(
             cfg,
@@ -150,7 +150,7 @@
         self._figures.start(cfg.host)
         await self.reports.start(cfg.host)
         await self._news.start()
-        self._ends.start()
+        self._crashes.start()
         self._listen(self._callers, cfg.callers)
 
     async def close(self) -> None:
@@ -158,7 +158,7 @@
         self._stopping = True
         self.front.stopping = True
         await self._finish_calls()
-        await self._ends.close()
+        await self._crashes.close()
         await self._news.close()
         await self.reports.close()
         self._figures.close()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linnetwood.calls.backend import Sink
+from linnetwood.calls.backend import BackendSink
 from linnetwood.calls.guard import Guard, GuardState
 from linnetwood.calls.keys import KeyMemory
 from linnetwood.core.errors import OrderError, WeightsError
@@ -135,7 +135,7 @@
 class NoBackend:
     """Run nothing."""
 
-    async def run(self, start: Start, body: bytes, sink: Sink) -> Ending:
+    async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Answer at once."""
         return ANSWERED
 
@@ -380,12 +380,12 @@
             slot = Slot()
             slot.want('v1')
             await asyncio.sleep(5)
-            slot.guard._enter()
+            slot.guard._begin_call()
             slot.want('v2')
             await asyncio.sleep(5)
             self.assertTrue(slot.guard.state.loading)
             slot.want('v1')
-            slot.guard._leave()
+            slot.guard._end_call()
             await asyncio.sleep(5)
             await slot.agent.close()
             return slot
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -31,7 +31,7 @@
 def expected(prompt: str, tokens: int) -> str:
     """Give the one right answer."""
     words = [token('sevak@v1', prompt, index) for index in range(tokens)]
-    return ''.join(f'data: {one}\n\n' for one in (*words, '[DONE]'))
+    return ''.join(f'data: {word}\n\n' for word in (*words, '[DONE]'))
 
 
 class CallersTest(unittest.IsolatedAsyncioTestCase):
@@ -98,12 +98,12 @@
         key = json.loads(minted.body)['keys'][0]
         replies = [
             await rig.http(
-                '/services/booking/confirm', 'slot', one, headers={KEY: key}
+                '/services/booking/confirm', 'slot', number, headers={KEY: key}
             )
-            for one in (0, 1, 0)
+            for number in (0, 1, 0)
         ]
-        self.assertEqual([one.code for one in replies], [200, 200, 200])
-        self.assertEqual(len({one.body for one in replies}), 1)
+        self.assertEqual([reply.code for reply in replies], [200, 200, 200])
+        self.assertEqual(len({reply.body for reply in replies}), 1)
         self.assertEqual(rig.service.runs, {'slot': 1})
 
     @running
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -26,43 +26,43 @@
 from hypothesis import strategies as st
 
 from linnetwood.calls.crashes import (
-    ENDS_BORNE,
-    FORGOTTEN_S,
-    REFUSED_ANSWERED_S,
-    REFUSED_FIRST_S,
-    TRUSTED_ANSWERED_S,
-    Crashes,
-    End,
-    life_digest,
+    ANSWER_TRUST_S,
+    CRASH_RECORD_TTL_S,
+    REFUSAL_ANSWERED_S,
+    REFUSAL_FIRST_S,
+    REFUSE_AFTER_CRASHES,
+    CrashHistory,
+    CrashRecord,
+    incarnation_digest,
 )
 
 FATAL = 'fatal'
 ALIKE = 'alike'
 OWN = 'own'
-KNOWN_S = 0.15
-RUNS_S = 0.1
-BACK_S = 3.0
+SHARE_DELAY_S = 0.15
+RUN_S = 0.1
+RESTART_S = 3.0
 STEP_S = 0.05
-COMES_S = 0.5
-LASTS_S = 30.0
-QUEUED_S = 0.5
-SEVERAL = ('fatal-1', 'fatal-2', 'fatal-3')
-PLACES = 8
+CALL_INTERVAL_S = 0.5
+DURATION_S = 30.0
+MAX_QUEUE_S = 0.5
+FATAL_CALLS = ('fatal-1', 'fatal-2', 'fatal-3')
+SLOTS = 8
 
 
-def kind(likeness: str) -> str:
+def kind(fingerprint: str) -> str:
     """Give what calls are counted by: alike, or like no other."""
-    return ALIKE if likeness == ALIKE else OWN
+    return ALIKE if fingerprint == ALIKE else OWN
 
 
 @dataclasses.dataclass
 class Endpoint:
     """One endpoint: its life, until when it is away, and what it runs."""
 
-    life: int = 0
-    away_until: float = 0
-    ends_at: float | None = None
-    ends_by: str = ''
+    incarnation: int = 0
+    down_until: float = 0
+    crashes_at: float | None = None
+    crash_cause: str = ''
     running: list[tuple[str, int, float, int]] = dataclasses.field(
         default_factory=list,
     )
@@ -78,116 +78,120 @@
         seed: int,
         *,
         fatal: Sequence[str] = (FATAL,),
-        waits_s: float = 0,
+        max_queue_s: float = 0,
     ) -> None:
         self.fatal = fatal
-        self.waits_s = waits_s
+        self.max_queue_s = max_queue_s
         self.rng = Random(seed)
-        self.entries = [Crashes() for _ in range(entries)]
+        self.entries = [CrashHistory() for _ in range(entries)]
         self.endpoints = [Endpoint() for _ in range(endpoints)]
-        self.told: deque[tuple[float, End, bool]] = deque()
-        self.ended: list[float] = []
-        self.ended_by: Counter[str] = Counter()
-        self.sent: list[float] = []
-        self.served: Counter[str] = Counter()
-        self.asked: Counter[str] = Counter()
-        self.lives = 0
-
-    def play(self) -> None:
+        self.pending: deque[tuple[float, CrashRecord, bool]] = deque()
+        self.crashed_at: list[float] = []
+        self.crashes_by_call: Counter[str] = Counter()
+        self.fatal_sent_at: list[float] = []
+        self.answered: Counter[str] = Counter()
+        self.calls_received: Counter[str] = Counter()
+        self.incarnations = 0
+
+    def run(self) -> None:
         """Let time pass."""
         now = float()
-        comes_at = COMES_S
+        next_call_at = CALL_INTERVAL_S
         number = 0
-        while now < LASTS_S:
+        while now < DURATION_S:
             now += STEP_S
-            self._hear(now)
-            self._end_some(now)
-            if now >= comes_at:
-                comes_at += COMES_S
+            self._deliver_updates(now)
+            self._advance_endpoints(now)
+            if now >= next_call_at:
+                next_call_at += CALL_INTERVAL_S
                 for fatal in self.fatal:
-                    self._ask(fatal, now)
+                    self._receive(fatal, now)
             for _ in range(len(self.endpoints) // 4):
                 number += 1
                 own = f'{OWN}-{number}'
-                self._ask(self.rng.choice((ALIKE, own)), now)
+                self._receive(self.rng.choice((ALIKE, own)), now)
 
-    def share_served(self, kind_of: str) -> float:
+    def answered_share(self, kind_name: str) -> float:
         """Give the share of calls of a kind that were answered."""
-        return self.served[kind_of] / self.asked[kind_of]
+        return self.answered[kind_name] / self.calls_received[kind_name]
 
-    def _ask(self, likeness: str, now: float) -> None:
+    def _receive(self, fingerprint: str, now: float) -> None:
         entry = self.rng.randrange(len(self.entries))
-        if likeness not in self.fatal:
-            self.asked[kind(likeness)] += 1
-        refused = self.entries[entry].wait_s(likeness, now)
+        if fingerprint not in self.fatal:
+            self.calls_received[kind(fingerprint)] += 1
+        refused = self.entries[entry].refused_for_s(fingerprint, now)
         # Without a place a call is refused, too, and isn't tried.
-        if not refused and self._able(now):
-            self.entries[entry].goes(likeness, now)
-            self._send(likeness, entry, now, 2)
+        if not refused and self._available(now):
+            self.entries[entry].note_admitted(fingerprint, now)
+            self._send(fingerprint, entry, now, 2)
 
-    def _send(self, likeness: str, entry: int, now: float, tries: int) -> None:
-        able = self._able(now)
-        if not able:
+    def _send(
+        self, fingerprint: str, entry: int, now: float, tries: int
+    ) -> None:
+        available = self._available(now)
+        if not available:
             return
-        one = self.rng.choice(able)
-        if likeness in self.fatal:
-            self.sent.append(now)
-            self._begin(one, likeness, now)
+        endpoint = self.rng.choice(available)
+        if fingerprint in self.fatal:
+            self.fatal_sent_at.append(now)
+            self._schedule_crash(endpoint, fingerprint, now)
         until = now + self.rng.uniform(0.1, 1.5)
-        if likeness in self.fatal:
+        if fingerprint in self.fatal:
             until = math.inf
-        one.running.append((likeness, entry, until, tries))
+        endpoint.running.append((fingerprint, entry, until, tries))
 
-    def _able(self, now: float) -> list[Endpoint]:
+    def _available(self, now: float) -> list[Endpoint]:
         return [
-            one
-            for one in self.endpoints
-            if one.away_until <= now and len(one.running) < PLACES
+            endpoint
+            for endpoint in self.endpoints
+            if endpoint.down_until <= now and len(endpoint.running) < SLOTS
         ]
 
-    def _begin(self, one: Endpoint, likeness: str, now: float) -> None:
-        ends_at = now + RUNS_S + self.rng.uniform(0, self.waits_s)
-        if one.ends_at is None or ends_at < one.ends_at:
-            one.ends_at = ends_at
-            one.ends_by = likeness
-
-    def _end_some(self, now: float) -> None:
-        for one in self.endpoints:
-            if one.ends_at is not None and now >= one.ends_at:
-                self._end(one, now)
-            done = [row for row in one.running if row[2] <= now]
+    def _schedule_crash(
+        self, endpoint: Endpoint, fingerprint: str, now: float
+    ) -> None:
+        crashes_at = now + RUN_S + self.rng.uniform(0, self.max_queue_s)
+        if endpoint.crashes_at is None or crashes_at < endpoint.crashes_at:
+            endpoint.crashes_at = crashes_at
+            endpoint.crash_cause = fingerprint
+
+    def _advance_endpoints(self, now: float) -> None:
+        for endpoint in self.endpoints:
+            if endpoint.crashes_at is not None and now >= endpoint.crashes_at:
+                self._crash(endpoint, now)
+            done = [row for row in endpoint.running if row[2] <= now]
             for row in done:
-                one.running.remove(row)
-                self.served[kind(row[0])] += 1
-                for end in self.entries[row[1]].answered(row[0]):
-                    self.told.append((now + KNOWN_S, end, False))
-
-    def _end(self, one: Endpoint, now: float) -> None:
-        self.ended.append(now)
-        self.ended_by[one.ends_by] += 1
-        running = one.running
-        one.running = []
-        one.away_until = now + BACK_S
-        one.ends_at = None
-        self.lives += 1
-        life = life_digest(f'i-{self.lives}')
-        for likeness, entry, _, _ in running:
-            end = End(likeness, life)
-            if self.entries[entry].ended(end, now):
-                self.told.append((now + KNOWN_S, end, True))
+                endpoint.running.remove(row)
+                self.answered[kind(row[0])] += 1
+                for crash in self.entries[row[1]].note_answered(row[0]):
+                    self.pending.append((now + SHARE_DELAY_S, crash, False))
+
+    def _crash(self, endpoint: Endpoint, now: float) -> None:
+        self.crashed_at.append(now)
+        self.crashes_by_call[endpoint.crash_cause] += 1
+        running = endpoint.running
+        endpoint.running = []
+        endpoint.down_until = now + RESTART_S
+        endpoint.crashes_at = None
+        self.incarnations += 1
+        incarnation = incarnation_digest(f'i-{self.incarnations}')
+        for fingerprint, entry, _, _ in running:
+            crash = CrashRecord(fingerprint, incarnation)
+            if self.entries[entry].add(crash, now):
+                self.pending.append((now + SHARE_DELAY_S, crash, True))
         for row in running:
-            again = row[3] > 1 and self.entries[row[1]].may_go_again(row[0])
-            if again:
+            retries = row[3] > 1 and self.entries[row[1]].may_retry(row[0])
+            if retries:
                 self._send(row[0], row[1], now, row[3] - 1)
 
-    def _hear(self, now: float) -> None:
-        while self.told and self.told[0][0] <= now:
-            at, end, came = self.told.popleft()
+    def _deliver_updates(self, now: float) -> None:
+        while self.pending and self.pending[0][0] <= now:
+            at, crash, is_added = self.pending.popleft()
             for entry in self.entries:
-                if came:
-                    entry.ended(end, at, shared=True)
+                if is_added:
+                    entry.add(crash, at, shared=True)
                 else:
-                    entry.withdrawn(end)
+                    entry.remove(crash)
 
 
 class LoadTest(unittest.TestCase):
@@ -198,14 +202,20 @@
         for entries, endpoints in ((3, 12), (7, 12), (39, 26), (98, 60)):
             for seed in range(20):
                 fleet = Fleet(entries, endpoints, seed)
-                fleet.play()
+                fleet.run()
                 with self.subTest(entries=entries, seed=seed):
-                    self.assertLessEqual(len(fleet.ended), 4)
-                    due = fleet.ended[min(2, len(fleet.ended) - 1)] + 3
-                    late = [at for at in fleet.sent if at > due]
-                    self.assertEqual(late, [])
-                    served = fleet.served.total() / fleet.asked.total()
-                    self.assertGreater(served, 0.95)
+                    self.assertLessEqual(len(fleet.crashed_at), 4)
+                    deadline = (
+                        fleet.crashed_at[min(2, len(fleet.crashed_at) - 1)] + 3
+                    )
+                    late_calls = [
+                        at for at in fleet.fatal_sent_at if at > deadline
+                    ]
+                    self.assertEqual(late_calls, [])
+                    answered = (
+                        fleet.answered.total() / fleet.calls_received.total()
+                    )
+                    self.assertGreater(answered, 0.95)
 
     def test_several_that_wait_in_queues(self) -> None:
         """Each ends few, and whatever else is sent goes on."""
@@ -215,14 +225,14 @@
                 entries,
                 endpoints,
                 seed,
-                fatal=SEVERAL,
-                waits_s=QUEUED_S,
+                fatal=FATAL_CALLS,
+                max_queue_s=MAX_QUEUE_S,
             )
-            fleet.play()
+            fleet.run()
             with self.subTest(entries=entries, seed=seed):
-                self.assertLessEqual(max(fleet.ended_by.values()), 4)
-                self.assertGreater(fleet.share_served(ALIKE), 0.85)
-                self.assertGreater(fleet.share_served(OWN), 0.85)
+                self.assertLessEqual(max(fleet.crashes_by_call.values()), 4)
+                self.assertGreater(fleet.answered_share(ALIKE), 0.85)
+                self.assertGreater(fleet.answered_share(OWN), 0.85)
 
     def test_a_fleet_that_ends_at_once(self) -> None:
         """Calls that all send go on as those that nobody else sends.
@@ -233,118 +243,130 @@
         none of them can clear the others.
         """
         for seed in range(20):
-            fleet = Fleet(6, 6, seed, fatal=SEVERAL, waits_s=QUEUED_S)
-            fleet.play()
-            others = fleet.share_served(OWN)
+            fleet = Fleet(
+                6, 6, seed, fatal=FATAL_CALLS, max_queue_s=MAX_QUEUE_S
+            )
+            fleet.run()
+            others = fleet.answered_share(OWN)
             with self.subTest(seed=seed):
-                self.assertLessEqual(max(fleet.ended_by.values()), 4)
-                self.assertGreater(fleet.share_served(ALIKE), others - 0.1)
+                self.assertLessEqual(max(fleet.crashes_by_call.values()), 4)
+                self.assertGreater(fleet.answered_share(ALIKE), others - 0.1)
 
     def test_one_that_was_answered_before(self) -> None:
         """It costs some endpoints more, and none once three have ended."""
         sizes = ((3, 12), (6, 6), (40, 26), (98, 60))
         for (entries, endpoints), seed in product(sizes, range(5)):
-            fleet = Fleet(entries, endpoints, seed, waits_s=QUEUED_S)
+            fleet = Fleet(entries, endpoints, seed, max_queue_s=MAX_QUEUE_S)
             for entry in fleet.entries:
-                entry.answered(FATAL)
-            fleet.play()
+                entry.note_answered(FATAL)
+            fleet.run()
             with self.subTest(entries=entries, seed=seed):
-                self.assertLessEqual(len(fleet.ended), 6)
-                due = fleet.ended[min(2, len(fleet.ended) - 1)] + 3
-                self.assertEqual([at for at in fleet.sent if at > due], [])
+                self.assertLessEqual(len(fleet.crashed_at), 6)
+                deadline = (
+                    fleet.crashed_at[min(2, len(fleet.crashed_at) - 1)] + 3
+                )
+                self.assertEqual(
+                    [at for at in fleet.fatal_sent_at if at > deadline], []
+                )
 
 
 class RulesTest(unittest.TestCase):
     """What is refused, until when, and what clears it."""
 
     def setUp(self) -> None:
-        self.crashes = Crashes()
+        self.crashes = CrashHistory()
 
-    def end(self, *lives: str, at: float = 0) -> None:
+    def crash(self, *incarnations: str, at: float = 0) -> None:
         """Let lives end under calls that are alike."""
-        for life in lives:
-            self.crashes.ended(End(FATAL, life), at)
+        for incarnation in incarnations:
+            self.crashes.add(CrashRecord(FATAL, incarnation), at)
 
     def test_one_end_is_borne(self) -> None:
         """Whoever was near by is tried elsewhere."""
-        self.end('a')
-        self.end('a')
-        self.assertEqual(self.crashes.wait_s(FATAL, 0), 0)
-        self.assertTrue(self.crashes.may_go_again(FATAL))
+        self.crash('a')
+        self.crash('a')
+        self.assertEqual(self.crashes.refused_for_s(FATAL, 0), 0)
+        self.assertTrue(self.crashes.may_retry(FATAL))
 
     def test_two_are_not(self) -> None:
         """Nor is it sent to a second endpoint by the same call."""
-        self.end('a', 'b')
-        self.assertEqual(self.crashes.wait_s(FATAL, 0), REFUSED_FIRST_S)
-        self.assertFalse(self.crashes.may_go_again(FATAL))
-        self.assertEqual(self.crashes.wait_s('other', 0), 0)
+        self.crash('a', 'b')
+        self.assertEqual(self.crashes.refused_for_s(FATAL, 0), REFUSAL_FIRST_S)
+        self.assertFalse(self.crashes.may_retry(FATAL))
+        self.assertEqual(self.crashes.refused_for_s('other', 0), 0)
 
     def test_one_is_tried_alone_in_the_end(self) -> None:
         """If it ends one more, the next comes after twice the time."""
-        self.end('a', 'b')
-        later = REFUSED_FIRST_S
-        self.assertEqual(self.crashes.wait_s(FATAL, later), 0)
-        self.crashes.goes(FATAL, later)
-        self.assertGreater(self.crashes.wait_s(FATAL, later), 0)
-        self.end('c', at=later)
-        wait_s = self.crashes.wait_s(FATAL, later)
-        self.assertEqual(wait_s, 2 * REFUSED_FIRST_S)
+        self.crash('a', 'b')
+        later = REFUSAL_FIRST_S
+        self.assertEqual(self.crashes.refused_for_s(FATAL, later), 0)
+        self.crashes.note_admitted(FATAL, later)
+        self.assertGreater(self.crashes.refused_for_s(FATAL, later), 0)
+        self.crash('c', at=later)
+        wait_s = self.crashes.refused_for_s(FATAL, later)
+        self.assertEqual(wait_s, 2 * REFUSAL_FIRST_S)
 
     def test_an_answer_clears(self) -> None:
         """And says which ends others must no longer count."""
-        self.end('a', 'b')
-        held = self.crashes.answered(FATAL)
-        self.assertEqual(held, [End(FATAL, 'a'), End(FATAL, 'b')])
-        self.assertEqual(self.crashes.wait_s(FATAL, 0), 0)
-        self.assertEqual(self.crashes.answered(FATAL), [])
+        self.crash('a', 'b')
+        held = self.crashes.note_answered(FATAL)
+        self.assertEqual(
+            held, [CrashRecord(FATAL, 'a'), CrashRecord(FATAL, 'b')]
+        )
+        self.assertEqual(self.crashes.refused_for_s(FATAL, 0), 0)
+        self.assertEqual(self.crashes.note_answered(FATAL), [])
 
     def test_answers_from_before(self) -> None:
         """One like them is soon tried, again and again while ends are new."""
-        self.crashes.answered(FATAL)
-        self.end('a', 'b')
-        self.assertEqual(self.crashes.wait_s(FATAL, 0), REFUSED_ANSWERED_S)
-        self.crashes.goes(FATAL, REFUSED_ANSWERED_S)
-        tried_s = self.crashes.wait_s(FATAL, REFUSED_ANSWERED_S)
-        self.assertGreater(tried_s, REFUSED_ANSWERED_S)
-        self.end('c', at=REFUSED_ANSWERED_S)
-        wait_s = self.crashes.wait_s(FATAL, REFUSED_ANSWERED_S)
-        self.assertEqual(wait_s, REFUSED_ANSWERED_S)
-        self.end('d', at=TRUSTED_ANSWERED_S)
-        wait_s = self.crashes.wait_s(FATAL, TRUSTED_ANSWERED_S)
-        self.assertEqual(wait_s, 4 * REFUSED_FIRST_S)
+        self.crashes.note_answered(FATAL)
+        self.crash('a', 'b')
+        self.assertEqual(
+            self.crashes.refused_for_s(FATAL, 0), REFUSAL_ANSWERED_S
+        )
+        self.crashes.note_admitted(FATAL, REFUSAL_ANSWERED_S)
+        tried_s = self.crashes.refused_for_s(FATAL, REFUSAL_ANSWERED_S)
+        self.assertGreater(tried_s, REFUSAL_ANSWERED_S)
+        self.crash('c', at=REFUSAL_ANSWERED_S)
+        wait_s = self.crashes.refused_for_s(FATAL, REFUSAL_ANSWERED_S)
+        self.assertEqual(wait_s, REFUSAL_ANSWERED_S)
+        self.crash('d', at=ANSWER_TRUST_S)
+        wait_s = self.crashes.refused_for_s(FATAL, ANSWER_TRUST_S)
+        self.assertEqual(wait_s, 4 * REFUSAL_FIRST_S)
 
     def test_answers_are_not_kept_for_ever(self) -> None:
         """What everybody sends is answered again in time."""
-        self.crashes.answered(FATAL)
+        self.crashes.note_answered(FATAL)
         for number in range(5000):
-            self.crashes.answered(f'l-{number}')
-        self.end('a', 'b')
-        self.assertEqual(self.crashes.wait_s(FATAL, 0), REFUSED_FIRST_S)
+            self.crashes.note_answered(f'l-{number}')
+        self.crash('a', 'b')
+        self.assertEqual(self.crashes.refused_for_s(FATAL, 0), REFUSAL_FIRST_S)
 
     def test_ends_are_forgotten(self) -> None:
         """Those of long ago, and those that are withdrawn."""
-        self.end('a', 'b')
-        self.crashes.expire(FORGOTTEN_S)
-        self.assertEqual(self.crashes.ends(FATAL), 0)
-        self.end('a', 'b')
-        self.crashes.withdrawn(End(FATAL, 'a'))
-        self.crashes.withdrawn(End('other', 'a'))
-        self.assertEqual(self.crashes.ends(FATAL), 1)
+        self.crash('a', 'b')
+        self.crashes.expire(CRASH_RECORD_TTL_S)
+        self.assertEqual(self.crashes.crash_count(FATAL), 0)
+        self.crash('a', 'b')
+        self.crashes.remove(CrashRecord(FATAL, 'a'))
+        self.crashes.remove(CrashRecord('other', 'a'))
+        self.assertEqual(self.crashes.crash_count(FATAL), 1)
 
     def test_what_is_shared_is_replaced(self) -> None:
         """Ends that were seen here stay: they may not have been told yet."""
-        self.end('mine')
-        self.crashes.replaced([(End(FATAL, 'a'), 0), (End(FATAL, 'b'), 0)])
-        self.assertEqual(self.crashes.ends(FATAL), 3)
-        self.crashes.replaced([(End(FATAL, 'b'), 0)])
-        self.assertEqual(self.crashes.ends(FATAL), 2)
+        self.crash('mine')
+        self.crashes.replace_shared(
+            [(CrashRecord(FATAL, 'a'), 0), (CrashRecord(FATAL, 'b'), 0)]
+        )
+        self.assertEqual(self.crashes.crash_count(FATAL), 3)
+        self.crashes.replace_shared([(CrashRecord(FATAL, 'b'), 0)])
+        self.assertEqual(self.crashes.crash_count(FATAL), 2)
 
     def test_nobody_can_fill_it(self) -> None:
         """The oldest go; what is held stays bounded."""
         for number in range(5000):
-            self.crashes.ended(End(f'l-{number}', 'a'), number)
-        self.assertEqual(self.crashes.ends('l-0'), 0)
-        self.assertEqual(self.crashes.ends('l-4999'), 1)
+            self.crashes.add(CrashRecord(f'l-{number}', 'a'), number)
+        self.assertEqual(self.crashes.crash_count('l-0'), 0)
+        self.assertEqual(self.crashes.crash_count('l-4999'), 1)
 
     @given(
         st.lists(
@@ -357,22 +379,24 @@
     )
     def test_any_order(self, steps: list[tuple[str, str, str]]) -> None:
         """A call is refused where two lives ended since its last answer."""
-        crashes = Crashes()
+        crashes = CrashHistory()
         held: dict[str, set[str]] = {'x': set(), 'y': set()}
-        for what, likeness, life in steps:
-            end = End(likeness, life)
-            if what == 'ended':
-                news = life not in held[likeness]
-                self.assertEqual(crashes.ended(end, 0), news)
-                held[likeness].add(life)
-            elif what == 'withdrawn':
-                crashes.withdrawn(end)
-                held[likeness].discard(life)
+        for action, fingerprint, incarnation in steps:
+            crash = CrashRecord(fingerprint, incarnation)
+            if action == 'ended':
+                is_new = incarnation not in held[fingerprint]
+                self.assertEqual(crashes.add(crash, 0), is_new)
+                held[fingerprint].add(incarnation)
+            elif action == 'withdrawn':
+                crashes.remove(crash)
+                held[fingerprint].discard(incarnation)
             else:
-                crashes.answered(likeness)
-                held[likeness].clear()
-            refused = crashes.wait_s(likeness, 0) > 0
-            self.assertEqual(refused, len(held[likeness]) >= ENDS_BORNE)
+                crashes.note_answered(fingerprint)
+                held[fingerprint].clear()
+            refused = crashes.refused_for_s(fingerprint, 0) > 0
+            self.assertEqual(
+                refused, len(held[fingerprint]) >= REFUSE_AFTER_CRASHES
+            )
 
 
 if __name__ == '__main__':
--- a/tests/test_crashtelling.py
+++ b/tests/test_crashtelling.py
@@ -15,17 +15,17 @@
 from collections.abc import Sequence
 from random import Random
 
-from linnetwood.calls.crashes import End, life_digest
-from linnetwood.calls.crashtelling import EndTeller
+from linnetwood.calls.crashes import CrashRecord, incarnation_digest
+from linnetwood.calls.crashsharing import CrashPublisher
 from linnetwood.core.errors import StoreError
 from linnetwood.lab.virtual import run
 
-END = End('c0' * 12, life_digest('i-1'))
+CRASH = CrashRecord('c0' * 12, incarnation_digest('i-1'))
 ENTRIES = 410
 ENDPOINTS = 60
 CALLS = 16
 # What a watch takes to tell all entries of a change.
-SEEN_S = 0.15
+WATCH_DELAY_S = 0.15
 KNOWN_WITHIN_S = 3.0
 MOST_PER_S = 200
 
@@ -33,99 +33,107 @@
 class LostAnswers:
     """Carry the first writes out after a while, and never answer them."""
 
-    most = 4
+    max_records = 4
 
     def __init__(self, lost: int, late_s: float = 0) -> None:
-        self.ends: set[End] = set()
+        self.crashes: set[CrashRecord] = set()
         self._lost = lost
         self._late_s = late_s
 
-    async def write(self, share: Sequence[End], drop: Sequence[End]) -> None:
+    async def write(
+        self, added: Sequence[CrashRecord], removed: Sequence[CrashRecord]
+    ) -> None:
         self._lost -= 1
         if self._lost < 0:
-            self._carry_out(set(share), set(drop))
+            self._carry_out(set(added), set(removed))
             return
         loop = asyncio.get_running_loop()
-        loop.call_later(self._late_s, self._carry_out, set(share), set(drop))
+        loop.call_later(self._late_s, self._carry_out, set(added), set(removed))
         await asyncio.sleep(0.5)
         raise StoreError('store-unreachable')
 
-    def _carry_out(self, share: set[End], drop: set[End]) -> None:
-        self.ends = (self.ends | share) - drop
+    def _carry_out(
+        self, added: set[CrashRecord], removed: set[CrashRecord]
+    ) -> None:
+        self.crashes = (self.crashes | added) - removed
 
 
 class Fleet:
     """Entries before one store that tells all of them what was taken away."""
 
-    most = 32
+    max_records = 32
 
     def __init__(self) -> None:
         self.calls: collections.Counter[float] = collections.Counter()
-        self.known: dict[End, float] = {}
-        self.tellers = [
-            EndTeller(self, Random(seed), self.entries)
+        self.known: dict[CrashRecord, float] = {}
+        self.publishers = [
+            CrashPublisher(self, Random(seed), self.entries)
             for seed in range(ENTRIES)
         ]
-        for teller in self.tellers:
-            teller.start()
+        for publisher in self.publishers:
+            publisher.start()
 
-    async def write(self, share: Sequence[End], drop: Sequence[End]) -> None:
+    async def write(
+        self, added: Sequence[CrashRecord], removed: Sequence[CrashRecord]
+    ) -> None:
         loop = asyncio.get_running_loop()
         self.calls[round(loop.time(), 1)] += 1
         await asyncio.sleep(0.01)
-        for end in share:
-            self.known.setdefault(end, loop.time())
-        loop.call_later(SEEN_S, self._all_see, list(drop))
+        for crash in added:
+            self.known.setdefault(crash, loop.time())
+        loop.call_later(WATCH_DELAY_S, self._notify_all, list(removed))
 
     def entries(self) -> int:
         return ENTRIES
 
     async def close(self) -> None:
-        for teller in self.tellers:
-            await teller.close()
+        for publisher in self.publishers:
+            await publisher.close()
 
     def most_per_s(self) -> int:
         """Give the calls of the worst second."""
         return max(
-            sum(self.calls[round(at + one / 10, 1)] for one in range(10))
+            sum(self.calls[round(at + tenth / 10, 1)] for tenth in range(10))
             for at in list(self.calls)
         )
 
-    def _all_see(self, gone: list[End]) -> None:
-        for teller in self.tellers:
-            for end in gone:
-                teller.gone(end)
+    def _notify_all(self, removed: list[CrashRecord]) -> None:
+        for publisher in self.publishers:
+            for crash in removed:
+                publisher.note_removed(crash)
 
 
 class LostAnswersTest(unittest.TestCase):
     """An end that may have been written, and is cleared meanwhile."""
 
-    def left(self, board: LostAnswers, cleared_s: float) -> set[End]:
+    def remaining(
+        self, store: LostAnswers, withdrawn_after_s: float
+    ) -> set[CrashRecord]:
         """Clear an end so long after it was told; give what stays."""
 
         async def play() -> None:
-            teller = EndTeller(board, Random(1), lambda: 1)
-            teller.start()
-            teller.share(END)
-            await asyncio.sleep(cleared_s)
-            teller.withdraw(END)
+            publisher = CrashPublisher(store, Random(1), lambda: 1)
+            publisher.start()
+            publisher.share(CRASH)
+            await asyncio.sleep(withdrawn_after_s)
+            publisher.withdraw(CRASH)
             await asyncio.sleep(60)
-            await teller.close()
+            await publisher.close()
 
         run(play())
-        return board.ends
+        return store.crashes
 
     def test_cleared_while_no_answer_comes(self) -> None:
         """It is taken away, whether or not it was written."""
-        self.assertEqual(self.left(LostAnswers(1), 0.3), set())
+        self.assertEqual(self.remaining(LostAnswers(1), 0.3), set())
 
     def test_cleared_before_it_is_written_again(self) -> None:
         """Between two tries."""
-        self.assertEqual(self.left(LostAnswers(1), 0.62), set())
+        self.assertEqual(self.remaining(LostAnswers(1), 0.62), set())
 
     def test_written_seconds_later(self) -> None:
         """What was taken away too early is taken away again."""
-        self.assertEqual(self.left(LostAnswers(1, 4.0), 0.62), set())
+        self.assertEqual(self.remaining(LostAnswers(1, 4.0), 0.62), set())
 
 
 class GrowthTest(unittest.TestCase):
@@ -137,11 +145,11 @@
         async def play() -> Fleet:
             fleet = Fleet()
             rng = Random(3)
-            for place in range(ENDPOINTS):
-                life = life_digest(f'i-{place}')
+            for number in range(ENDPOINTS):
+                incarnation = incarnation_digest(f'i-{number}')
                 for call in range(CALLS):
-                    end = End(f'{place}-{call}', life)
-                    rng.choice(fleet.tellers).share(end)
+                    crash = CrashRecord(f'{number}-{call}', incarnation)
+                    rng.choice(fleet.publishers).share(crash)
             await asyncio.sleep(30)
             await fleet.close()
             return fleet
@@ -157,7 +165,9 @@
         async def play() -> Fleet:
             fleet = Fleet()
             for call in range(CALLS):
-                fleet.tellers[call].share(End(f'l-{call}', END.life))
+                fleet.publishers[call].share(
+                    CrashRecord(f'l-{call}', CRASH.incarnation)
+                )
             await asyncio.sleep(30)
             await fleet.close()
             return fleet
@@ -171,23 +181,23 @@
 
         async def play() -> Fleet:
             fleet = Fleet()
-            for teller in fleet.tellers:
-                teller.withdraw(END)
+            for publisher in fleet.publishers:
+                publisher.withdraw(CRASH)
             await asyncio.sleep(0.2)
-            fleet.tellers[0].share(End('l', 'b'))
+            fleet.publishers[0].share(CrashRecord('l', 'b'))
             await asyncio.sleep(0.2)
             await fleet.close()
             return fleet
 
-        self.assertIn(End('l', 'b'), run(play()).known)
+        self.assertIn(CrashRecord('l', 'b'), run(play()).known)
 
     def test_all_see_an_answer(self) -> None:
         """One takes it away, and the others see that."""
 
         async def play() -> Fleet:
             fleet = Fleet()
-            for teller in fleet.tellers:
-                teller.withdraw(END)
+            for publisher in fleet.publishers:
+                publisher.withdraw(CRASH)
             await asyncio.sleep(60)
             await fleet.close()
             return fleet
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -2,30 +2,30 @@
 
 import unittest
 
-from linnetwood.calls.fairness import Bounds, FairQueue, Ticket
-from linnetwood.calls.pacing import Pace
+from linnetwood.calls.fairness import FairQueue, QueueLimits, Ticket
+from linnetwood.calls.pacing import BorrowPacer
 from linnetwood.core.outcomes import Ending
 
-BOUNDS = Bounds(100, 100)
+LIMITS = QueueLimits(100, 100)
 MEAN_S = 0.2
 SHARES = {'large': 3, 'small': 1}
 
 
 def full_queue(capacity: int = 1, length: int = 100) -> FairQueue:
     """Give a queue whose slots are all taken."""
-    queue = FairQueue(Bounds(length, 1000), SHARES)
+    queue = FairQueue(QueueLimits(length, 1000), SHARES)
     queue.capacity = capacity
     for _ in range(capacity):
-        assert queue.ask('other', 0, 1000, 0) is None
+        assert queue.submit('other', 0, 1000, 0) is None
     return queue
 
 
 def after_a_pause() -> FairQueue:
     """Give a queue where the small one was quiet during a long backlog."""
     queue = full_queue()
-    queue.ask('small', 0, 1000, 0)
+    queue.submit('small', 0, 1000, 0)
     for _ in range(60):
-        queue.ask('large', 0, 1000, 0)
+        queue.submit('large', 0, 1000, 0)
     drain(queue, 31)
     return queue
 
@@ -34,8 +34,8 @@
     """Free one slot after another and give who was let in."""
     found = []
     for _ in range(count):
-        queue.done(0.01)
-        found += [ticket.organisation for ticket, _ in queue.admitted(0)]
+        queue.release(0.01)
+        found += [ticket.organisation for ticket, _ in queue.pop_admitted(0)]
     return found
 
 
@@ -46,8 +46,8 @@
         """Three of four slots go to the organisation with three shares."""
         queue = full_queue()
         for _ in range(20):
-            queue.ask('large', 0, 1000, 0)
-            queue.ask('small', 0, 1000, 0)
+            queue.submit('large', 0, 1000, 0)
+            queue.submit('small', 0, 1000, 0)
         let_in = drain(queue, 16)
         self.assertEqual(let_in.count('large'), 12)
 
@@ -55,30 +55,30 @@
         """An organisation alone gets every slot."""
         queue = full_queue()
         for _ in range(5):
-            queue.ask('small', 0, 1000, 0)
+            queue.submit('small', 0, 1000, 0)
         self.assertEqual(drain(queue, 5), ['small'] * 5)
 
     def test_newcomer_is_not_starved_by_a_backlog(self) -> None:
         """A small organisation's first call is next or next but one."""
         queue = full_queue()
         for _ in range(50):
-            queue.ask('large', 0, 1000, 0)
+            queue.submit('large', 0, 1000, 0)
         drain(queue, 10)
-        queue.ask('small', 0, 1000, 0)
+        queue.submit('small', 0, 1000, 0)
         self.assertIn('small', drain(queue, 2))
 
     def test_what_was_left_of_a_share_is_caught_up_with(self) -> None:
         """Calls that come together after a pause go before a backlog."""
         queue = after_a_pause()
         for _ in range(3):
-            queue.ask('small', 0, 1000, 0)
+            queue.submit('small', 0, 1000, 0)
         self.assertEqual(drain(queue, 3), ['small'] * 3)
 
     def test_a_long_pause_is_worth_no_more(self) -> None:
         """What is caught up with stays small beside the others' backlog."""
         queue = after_a_pause()
         for _ in range(20):
-            queue.ask('small', 0, 1000, 0)
+            queue.submit('small', 0, 1000, 0)
         # Eight, then a quarter of the rest by the shares.
         self.assertLessEqual(drain(queue, 20).count('small'), 12)
 
@@ -86,11 +86,11 @@
         """Within an organisation priority goes first, then the deadline."""
         queue = full_queue()
         cases = ((0, 900), (0, 800), (5, 999))
-        tickets = [queue.ask('small', *case, 0) for case in cases]
+        tickets = [queue.submit('small', *case, 0) for case in cases]
         order = []
         for _ in cases:
-            queue.done(0.01)
-            order += [ticket for ticket, _ in queue.admitted(0)]
+            queue.release(0.01)
+            order += [ticket for ticket, _ in queue.pop_admitted(0)]
         self.assertEqual(order, [tickets[2], tickets[1], tickets[0]])
 
     def test_refusals(self) -> None:
@@ -101,15 +101,15 @@
         )
         for name, queue, deadline, code in cases:
             with self.subTest(name):
-                answer = queue.ask('small', 0, deadline, 0)
+                answer = queue.submit('small', 0, deadline, 0)
                 found = answer.code if isinstance(answer, Ending) else None
                 self.assertEqual(found, code)
 
     def test_over_share_is_told_when_to_come_back(self) -> None:
         """A full part of the queue refuses with a time that grows with it."""
         queue = full_queue(length=4)
-        queue.ask('large', 0, 1000, 0)
-        answers = [queue.ask('small', 0, 1000, 0) for _ in range(3)]
+        queue.submit('large', 0, 1000, 0)
+        answers = [queue.submit('small', 0, 1000, 0) for _ in range(3)]
         refused = answers[-1]
         self.assertIsInstance(refused, Ending)
         self.assertEqual(getattr(refused, 'code', ''), 'over-share')
@@ -118,10 +118,10 @@
     def test_late_waiters_are_refused_not_run(self) -> None:
         """A waiter whose deadline has passed gives its slot to the next."""
         queue = full_queue()
-        late = queue.ask('small', 0, 5, 0)
-        good = queue.ask('small', 0, 900, 0)
-        queue.done(0.01)
-        found = list(queue.admitted(10))
+        late = queue.submit('small', 0, 5, 0)
+        good = queue.submit('small', 0, 900, 0)
+        queue.release(0.01)
+        found = list(queue.pop_admitted(10))
         self.assertEqual([ticket for ticket, _ in found], [late, good])
         self.assertEqual(
             [ending.code if ending else '' for _, ending in found],
@@ -131,7 +131,7 @@
     def test_withdrawn_ticket_is_gone(self) -> None:
         """A caller that left is not let in."""
         queue = full_queue()
-        ticket = queue.ask('small', 0, 900, 0)
+        ticket = queue.submit('small', 0, 900, 0)
         assert isinstance(ticket, Ticket)
         self.assertTrue(queue.withdraw(ticket))
         self.assertFalse(queue.withdraw(ticket))
@@ -143,24 +143,25 @@
 
     def setUp(self) -> None:
         """Let the large one take all slots and fill the queue."""
-        self.queue = FairQueue(BOUNDS, SHARES, Pace(BOUNDS.wait_s))
+        self.queue = FairQueue(LIMITS, SHARES, BorrowPacer(LIMITS.wait_s))
         self.queue.capacity = 4
-        self.queue.ask('small', 0, 1000, 0)
-        self.queue.done(MEAN_S)
+        self.queue.submit('small', 0, 1000, 0)
+        self.queue.release(MEAN_S)
         for _ in range(50):
-            self.queue.ask('large', 0, 1000, 0)
+            self.queue.submit('large', 0, 1000, 0)
         self.now = float()
 
     def free(self, count: int) -> list[str]:
         """End calls and give who is let in at once."""
         for _ in range(count):
-            self.queue.done(MEAN_S)
+            self.queue.release(MEAN_S)
         return self.let_in()
 
     def let_in(self) -> list[str]:
         """Give who is let in now."""
         return [
-            ticket.organisation for ticket, _ in self.queue.admitted(self.now)
+            ticket.organisation
+            for ticket, _ in self.queue.pop_admitted(self.now)
         ]
 
     def round(self) -> list[int]:
@@ -186,20 +187,22 @@
             self.round()
         self.now += MEAN_S
         self.assertEqual(len(self.free(2)), 1)
-        self.assertIsNone(self.queue.ask('small', 0, 1000, self.now))
+        self.assertIsNone(self.queue.submit('small', 0, 1000, self.now))
 
     def test_no_slot_lies_idle_for_long(self) -> None:
         """However long calls take, a slot is lent soon."""
-        pace = Pace(1)
-        pace.lent(0)
-        self.assertLessEqual(pace.next_at(mean_s=1000, slots=4, free=1), 0.1)
+        pacer = BorrowPacer(1)
+        pacer.note_borrowed(0)
+        self.assertLessEqual(
+            pacer.next_borrow_at(mean_s=1000, slots=4, free=1), 0.1
+        )
 
     def test_nobody_else_no_pace(self) -> None:
         """An organisation that the shares know alone is never held up."""
-        self.queue = FairQueue(BOUNDS, {'large': 3}, Pace(BOUNDS.wait_s))
+        self.queue = FairQueue(LIMITS, {'large': 3}, BorrowPacer(LIMITS.wait_s))
         self.queue.capacity = 4
         for _ in range(50):
-            self.queue.ask('large', 0, 1000, 0)
+            self.queue.submit('large', 0, 1000, 0)
         for _ in range(8):
             self.now += MEAN_S
             self.assertEqual(self.free(4), ['large'] * 4)
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from linnetwood.calls import dispatch
-from linnetwood.calls.keys import Admission, KeyMemory
+from linnetwood.calls.keys import KeyDecision, KeyMemory
 from linnetwood.core.outcomes import ANSWERED, Outcome
 from linnetwood.lab import checking, histories, virtual
 from linnetwood.lab.checking import Effect, Held, History, Seen, Stop
@@ -124,12 +124,16 @@
 
     def test_last_attempt_only(self) -> None:
         """Judging a call by its last attempt says not run of some that ran."""
-        with mock.patch.object(dispatch, 'conclude', lambda ends: ends[-1]):
+        with mock.patch.object(
+            dispatch, 'conclude', lambda endings: endings[-1]
+        ):
             self.assertIn('said not run, but ran', broken(range(100)))
 
     def test_forgetful_key_memory(self) -> None:
         """A memory that admits every key runs some of them twice."""
-        with mock.patch.object(KeyMemory, 'admit', return_value=Admission.RUN):
+        with mock.patch.object(
+            KeyMemory, 'claim', return_value=KeyDecision.RUN
+        ):
             self.assertIn('ran more than once', broken())
 
     def test_connection_kept_after_a_timeout(self) -> None:
@@ -138,7 +142,7 @@
         def keep(self: dispatch.Dispatcher, *args: object) -> None:
             address, stream, _ = args
             if stream is not None:
-                self._dialler._idle.setdefault(  # type: ignore[attr-defined]
+                self._pool._idle.setdefault(  # type: ignore[attr-defined]
                     address,
                     [],
                 ).append(stream)
@@ -150,10 +154,10 @@
         with (
             mock.patch.object(dispatch.Dispatcher, '_release', keep),
             mock.patch.object(MemoryDialler, 'reuse', reuse),
-            mock.patch.object(dispatch, '_own', return_value=True),
+            mock.patch.object(dispatch, '_is_own_head', return_value=True),
             mock.patch.object(
                 dispatch.Dispatcher,
-                '_ended',
+                '_read_ending',
                 return_value=ANSWERED,
             ),
         ):
--- a/tests/test_junk.py
+++ b/tests/test_junk.py
@@ -11,7 +11,7 @@
 
 from hypothesis import example, given, settings, strategies
 
-from linnetwood.calls.crashes import Crashes
+from linnetwood.calls.crashes import CrashHistory
 from linnetwood.calls.directory import Directory
 from linnetwood.calls.routebook import RouteBook
 from linnetwood.core.clock import SystemClock
@@ -25,7 +25,7 @@
 from linnetwood.fleet.rangeparts import unpack
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
-from linnetwood.platform.endboard import EndFeed
+from linnetwood.platform.crashstore import CrashFeed
 from linnetwood.platform.feeds import EndpointFeed, OperatorFeed, StoreFeed
 from linnetwood.platform.store import PlatformStore
 from linnetwood.platform.weights import PlatformOrigin, ServerEngine
@@ -86,7 +86,7 @@
         self.feed = StoreFeed(
             OperatorFeed(self._adopt, self.wanted, clock, self._changed),
             EndpointFeed(self.directory, clock, self._changed),
-            EndFeed(Crashes(), clock),
+            CrashFeed(CrashHistory(), clock),
         )
         self.feed.replaced(
             Snapshot(
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -3,7 +3,7 @@
 import unittest
 
 from linnetwood.calls import keys
-from linnetwood.calls.keys import Admission, Key, KeyMemory
+from linnetwood.calls.keys import Key, KeyDecision, KeyMemory
 from linnetwood.core.errors import CallError
 
 
@@ -18,53 +18,55 @@
     def test_round_trip_and_malformed(self) -> None:
         """A key reads back; anything else is refused."""
         key = Key('vm-1.east', 5, 1, 'n1')
-        self.assertEqual(keys.read(key.text()), key)
+        self.assertEqual(keys.parse(key.text()), key)
         for text in ('', 'x', 'a.b.c.d', 'vm.1.2.', '.1.2.n', 'v' * 300):
             with self.subTest(text), self.assertRaises(CallError):
-                keys.read(text)
+                keys.parse(text)
 
     def test_runs_once(self) -> None:
         """The second time the key is used up."""
         held = memory()
-        found = [held.admit(Key('vm-1', 5, 1, 'n')) for _ in range(2)]
-        self.assertEqual(found, [Admission.RUN, Admission.USED])
+        found = [held.claim(Key('vm-1', 5, 1, 'n')) for _ in range(2)]
+        self.assertEqual(found, [KeyDecision.RUN, KeyDecision.USED])
 
     def test_other_owner(self) -> None:
         """Another VM or an earlier incarnation refuses."""
         for key in (Key('vm-2', 5, 1, 'n'), Key('vm-1', 4, 1, 'n')):
             with self.subTest(key.text()):
-                self.assertIs(memory().admit(key), Admission.OTHER_OWNER)
+                self.assertIs(memory().claim(key), KeyDecision.OTHER_OWNER)
 
     def test_forgotten_epoch_is_refused(self) -> None:
         """What is older than the memory is refused, run or not."""
         held = memory()
-        held.admit(Key('vm-1', 5, 1, 'n'))
+        held.claim(Key('vm-1', 5, 1, 'n'))
         for now in (10, 20, 30):
             self.assertTrue(held.advance(now))
-        self.assertIs(held.admit(Key('vm-1', 5, 1, 'n')), Admission.EXPIRED)
-        self.assertIs(held.admit(Key('vm-1', 5, 2, 'n')), Admission.RUN)
+        self.assertIs(held.claim(Key('vm-1', 5, 1, 'n')), KeyDecision.EXPIRED)
+        self.assertIs(held.claim(Key('vm-1', 5, 2, 'n')), KeyDecision.RUN)
 
     def test_future_epoch_is_refused(self) -> None:
         """A key of an epoch that has not begun is nobody's."""
-        self.assertIs(memory().admit(Key('vm-1', 5, 9, 'n')), Admission.EXPIRED)
+        self.assertIs(
+            memory().claim(Key('vm-1', 5, 9, 'n')), KeyDecision.EXPIRED
+        )
 
     def test_full_memory_refuses_new_keys(self) -> None:
         """A full memory never forgets to make room."""
         held = memory(limit=1)
-        held.admit(Key('vm-1', 5, 1, 'a'))
-        self.assertIs(held.admit(Key('vm-1', 5, 1, 'b')), Admission.FULL)
-        self.assertIs(held.admit(Key('vm-1', 5, 1, 'a')), Admission.USED)
+        held.claim(Key('vm-1', 5, 1, 'a'))
+        self.assertIs(held.claim(Key('vm-1', 5, 1, 'b')), KeyDecision.FULL)
+        self.assertIs(held.claim(Key('vm-1', 5, 1, 'a')), KeyDecision.USED)
 
     def test_replay_of_small_answers_only(self) -> None:
         """A small answer is given again; a large one is not kept."""
         held = memory()
-        cases = ((10, Admission.REPLAY), (5000, Admission.USED))
+        cases = ((10, KeyDecision.REPLAY), (5000, KeyDecision.USED))
         for size, expected in cases:
             key = Key('vm-1', 5, 1, f'n{size}')
-            held.admit(key)
-            held.remember(key, keys.Replay(200, (), bytes(size)))
+            held.claim(key)
+            held.store_answer(key, keys.StoredAnswer(200, (), bytes(size)))
             with self.subTest(size):
-                self.assertIs(held.admit(key), expected)
+                self.assertIs(held.claim(key), expected)
 
 
 if __name__ == '__main__':
--- a/tests/test_likeness.py
+++ b/tests/test_likeness.py
@@ -5,30 +5,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from linnetwood.calls.likeness import LIKENESS_BYTES, likeness
+from linnetwood.calls.fingerprint import FINGERPRINT_BYTES, call_fingerprint
 
 # Names come from stored records, which may escape half of a pair of units.
-HALVES = st.text(st.characters(exclude_categories=()), max_size=4)
+SURROGATE_TEXT = st.text(st.characters(exclude_categories=()), max_size=4)
 
 
-class LikenessTest(unittest.TestCase):
+class CallFingerprintTest(unittest.TestCase):
     """Whatever text a call or a configuration holds."""
 
-    @given(HALVES, HALVES)
+    @given(SURROGATE_TEXT, SURROGATE_TEXT)
     def test_any_text(self, organisation: str, target: str) -> None:
         """It has a name, and another organisation gives another."""
-        named = likeness(organisation, 'GET', 'h', target, b'')
-        self.assertEqual(len(named), 2 * LIKENESS_BYTES)
-        other = likeness(f'{organisation}x', 'GET', 'h', target, b'')
-        self.assertNotEqual(named, other)
+        fingerprint = call_fingerprint(organisation, 'GET', 'h', target, b'')
+        self.assertEqual(len(fingerprint), 2 * FINGERPRINT_BYTES)
+        other = call_fingerprint(f'{organisation}x', 'GET', 'h', target, b'')
+        self.assertNotEqual(fingerprint, other)
 
     def test_half_of_a_pair(self) -> None:
         """The first half and the second are told apart."""
-        names = {
-            likeness(one, 'GET', 'h', '/', b'')
-            for one in ('\ud800', '\udc00', '\udc80', '?', '')
+        fingerprints = {
+            call_fingerprint(text, 'GET', 'h', '/', b'')
+            for text in ('\ud800', '\udc00', '\udc80', '?', '')
         }
-        self.assertEqual(len(names), 5)
+        self.assertEqual(len(fingerprints), 5)
 
 
 if __name__ == '__main__':
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -10,10 +10,10 @@
 from collections import Counter
 from random import Random
 
-from linnetwood.calls.admission import Admission, Visit
-from linnetwood.calls.backend import Sink
+from linnetwood.calls.admission import Admission, AdmissionRequest
+from linnetwood.calls.backend import BackendSink
 from linnetwood.calls.dispatch import Call, Dispatcher
-from linnetwood.calls.fairness import Bounds
+from linnetwood.calls.fairness import QueueLimits
 from linnetwood.calls.guard import Guard, GuardState
 from linnetwood.calls.keys import KeyMemory
 from linnetwood.calls.routing import POLICIES, Routes, Want
@@ -46,7 +46,7 @@
 JITTER = 0.05
 SPAN_S = 30.0
 DEADLINE_S = 2.0
-QUEUE = Bounds(64, 1.0)
+QUEUE = QueueLimits(64, 1.0)
 PROBE_S = 0.003
 CAPACITY_PER_S = ENGINES * SLOTS / SERVICE_S
 SMALL_PER_S = CAPACITY_PER_S * 0.1
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class CallResult:
     """How one call went."""
 
     organisation: str
@@ -80,7 +80,7 @@
     def __init__(self, rng: Random) -> None:
         self._rng = rng
 
-    async def run(self, start: Start, body: bytes, sink: Sink) -> Ending:
+    async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Answer."""
         span_s = SERVICE_S * self._rng.uniform(1, 1 + JITTER)
         sink.head(200, [], start.version)
@@ -146,12 +146,12 @@
         loop = asyncio.get_running_loop()
         self.rng = Random(seed)
         self.clock = virtual.VirtualClock(loop)
-        self.ended: list[Ended] = []
+        self.results: list[CallResult] = []
         self.net = MemoryNet(self.rng, 0, 0)
         found = [
             Endpoint(number, self.net, self.rng) for number in range(ENGINES)
         ]
-        self.endpoints = {one.vm: one for one in found}
+        self.endpoints = {endpoint.vm: endpoint for endpoint in found}
         self.entries = [self.entry() for _ in range(ENTRIES)]
 
     def entry(self) -> tuple[Admission, Dispatcher]:
@@ -159,8 +159,8 @@
         routes = Routes('z', POLICIES['probing'](), self.rng)
         routes.configured(DEPLOYMENT)
         routes.entries = ENTRIES
-        for one in self.endpoints.values():
-            routes.member_changed(one.member())
+        for endpoint in self.endpoints.values():
+            routes.member_changed(endpoint.member())
         gate = Admission(
             QUEUE,
             lambda target: -(-routes.slots(target) // ENTRIES),
@@ -203,16 +203,16 @@
         """Send one call to an entry at random."""
         began = self.clock.now()
         gate, dispatcher = self.rng.choice(self.entries)
-        visit = Visit(MODEL, organisation, began + DEADLINE_S)
-        ending = await gate.enter(visit)
+        request = AdmissionRequest(MODEL, organisation, began + DEADLINE_S)
+        ending = await gate.enter(request)
         if ending is None:
             admitted = self.clock.now()
-            ending = await dispatcher.run(self.made(visit), Answer())
-            gate.leave(visit, self.clock.now() - admitted)
+            ending = await dispatcher.run(self.made(request), Answer())
+            gate.leave(request, self.clock.now() - admitted)
         took_s = self.clock.now() - began
-        self.ended.append(Ended(organisation, ending.code, took_s))
+        self.results.append(CallResult(organisation, ending.code, took_s))
 
-    def made(self, visit: Visit) -> Call:
+    def made(self, request: AdmissionRequest) -> Call:
         """Give a call."""
         return Call(
             call_id=f'{self.rng.getrandbits(64):016x}',
@@ -222,12 +222,12 @@
             path='/generate',
             headers=(),
             body=b'p',
-            deadline=visit.deadline,
+            deadline=request.deadline,
         )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class LoadResult:
     """What came of a load."""
 
     goodput: float
@@ -236,19 +236,21 @@
     large_codes: Counter[str]
 
 
-def told(ended: list[Ended]) -> Told:
+def summarise(results: list[CallResult]) -> LoadResult:
     """Sum up what came of a load."""
     codes = {
-        name: Counter(one.code for one in ended if one.organisation == name)
+        name: Counter(
+            result.code for result in results if result.organisation == name
+        )
         for name, _ in SHARES
     }
     small = [
-        one.took_s
-        for one in ended
-        if one.organisation == SMALL and not one.code
+        result.took_s
+        for result in results
+        if result.organisation == SMALL and not result.code
     ]
     answered = sum(found[''] for found in codes.values())
-    return Told(
+    return LoadResult(
         answered / SPAN_S / CAPACITY_PER_S,
         percentile(small, 0.95),
         codes[SMALL],
@@ -256,17 +258,17 @@
     )
 
 
-async def played(seed: int) -> tuple[Told, Told]:
+async def run_loads(seed: int) -> tuple[LoadResult, LoadResult]:
     """Give what comes of the small one alone, then of both."""
     world = World(seed)
     await world.play({SMALL: SMALL_PER_S})
-    alone = told(world.ended)
-    world.ended.clear()
+    alone = summarise(world.results)
+    world.results.clear()
     await world.play(
         {SMALL: SMALL_PER_S, LARGE: CAPACITY_PER_S * OVERLOAD},
     )
     await world.net.close()
-    return alone, told(world.ended)
+    return alone, summarise(world.results)
 
 
 class OverloadTest(unittest.TestCase):
@@ -277,12 +279,12 @@
     together, and each entry knows only its own calls at once.
     """
 
-    plays: tuple[tuple[Told, Told], ...]
+    plays: tuple[tuple[LoadResult, LoadResult], ...]
 
     @classmethod
     def setUpClass(cls) -> None:
         """Play both loads."""
-        cls.plays = tuple(virtual.run(played(seed)) for seed in SEEDS)
+        cls.plays = tuple(virtual.run(run_loads(seed)) for seed in SEEDS)
 
     def test_goodput(self) -> None:
         """Nearly all that the engines can do is done."""
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -9,7 +9,7 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.crashes import Crashes
+from linnetwood.calls.crashes import CrashHistory
 from linnetwood.calls.choice import Chooser, Need
 from linnetwood.calls.directory import Directory
 from linnetwood.calls.reach import ANYWHERE, Reach, reach_of
@@ -18,7 +18,7 @@
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.platform import records
-from linnetwood.platform.endboard import EndFeed
+from linnetwood.platform.crashstore import CrashFeed
 from linnetwood.platform.feeds import EndpointFeed, OperatorFeed, StoreFeed
 from tests.test_junk import ENTRY, told
 from tests.test_records import CONFIG, ROUTE
@@ -63,7 +63,7 @@
                 self._changed,
                 regions=REGIONS,
             ),
-            EndFeed(Crashes(), self.clock),
+            CrashFeed(CrashHistory(), self.clock),
         )
         self.found = {
             f'servers/{zone}-{number}': told(self.entry(zone, number))
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from linnetwood.calls.crashes import REFUSED_FIRST_S, Crashes, End
+from linnetwood.calls.crashes import REFUSAL_FIRST_S, CrashHistory, CrashRecord
 from linnetwood.calls.dialect import CallHead, Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.quarantine import Quarantine
 from linnetwood.calls.routebook import Repeat, Route, Service, Share
 from linnetwood.core.outcomes import Code, Ending, not_run
 
-LIKENESS = 'c0' * 12
+FINGERPRINT = 'c0' * 12
 ROUTE = Route(
     'r', 'h', '/', Repeat.MAY, False, 1, 1, 1, 2, 0, True, (Share('s', 1),)
 )
@@ -24,7 +24,7 @@
     b'',
     0,
     1,
-    likeness=LIKENESS,
+    fingerprint=FINGERPRINT,
 )
 
 
@@ -45,7 +45,7 @@
     """What is refused, and who is tried."""
 
     def setUp(self) -> None:
-        self.crashes = Crashes()
+        self.crashes = CrashHistory()
         self.clock = At()
         self.verdict: Urgency | Ending = Urgency.IN_TIME
         self.quarantine = Quarantine(
@@ -53,25 +53,25 @@
             lambda call: self.verdict,
             self.clock,
         )
-        for life in 'ab':
-            self.crashes.ended(End(LIKENESS, life), 0)
+        for incarnation in 'ab':
+            self.crashes.add(CrashRecord(FINGERPRINT, incarnation), 0)
 
     def test_to_ask_changes_nothing(self) -> None:
         """Whoever asks twice hears the same."""
-        asked = [self.crashes.wait_s(LIKENESS, REFUSED_FIRST_S)]
-        asked.append(self.crashes.wait_s(LIKENESS, REFUSED_FIRST_S))
+        asked = [self.crashes.refused_for_s(FINGERPRINT, REFUSAL_FIRST_S)]
+        asked.append(self.crashes.refused_for_s(FINGERPRINT, REFUSAL_FIRST_S))
         self.assertEqual(asked, [0, 0])
 
     def test_one_is_tried(self) -> None:
         """The next is refused meanwhile."""
         self.assertIsInstance(self.quarantine(CALL), Ending)
-        self.clock.at = REFUSED_FIRST_S
+        self.clock.at = REFUSAL_FIRST_S
         self.assertIs(self.quarantine(CALL), Urgency.IN_TIME)
         self.assertIsInstance(self.quarantine(CALL), Ending)
 
     def test_one_that_is_refused_elsewhere_was_not_tried(self) -> None:
         """The next that has a place is."""
-        self.clock.at = REFUSED_FIRST_S
+        self.clock.at = REFUSAL_FIRST_S
         self.verdict = not_run(Code.BUSY)
         self.assertIs(self.quarantine(CALL), self.verdict)
         self.verdict = Urgency.IN_TIME
--- a/tests/test_shared_ends.py
+++ b/tests/test_shared_ends.py
@@ -8,11 +8,11 @@
 import asyncio
 import unittest
 
-from linnetwood.calls.crashes import End
-from linnetwood.platform.endboard import end_key
+from linnetwood.calls.crashes import CrashRecord
+from linnetwood.platform.crashstore import crash_key
 from tests.test_narrow_regions import ZONES, RegionEntry, Regions, played
 
-ENDS = [End('c0' * 12, f'{number:016x}') for number in range(3)]
+CRASHES = [CrashRecord('c0' * 12, f'{number:016x}') for number in range(3)]
 KNOWN_WITHIN_S = 3.0
 
 
@@ -20,22 +20,24 @@
     """Give the keys of ends that an entry holds."""
     now = asyncio.get_running_loop().time()
     held = entry.following.mirror.lack(0, now).changes
-    return {one.key for one in held if one.record and 'ends/' in one.key}
+    return {
+        change.key for change in held if change.record and 'ends/' in change.key
+    }
 
 
-def write(regions: Regions, *ends: End) -> None:
+def write(regions: Regions, *crashes: CrashRecord) -> None:
     """Write ends, as entries that saw them do."""
     for store in regions.stores.values():
-        for end in ends:
-            store.write(b'', end_key(end))
+        for crash in crashes:
+            store.write(b'', crash_key(crash))
 
 
-class SharedEndsTest(unittest.TestCase):
+class SharedCrashesTest(unittest.TestCase):
     """Write ends, and see who knows them."""
 
     def assert_known(self, entries: list[RegionEntry]) -> None:
         """Every one of them knows all ends."""
-        keys = {end_key(end) for end in ENDS}
+        keys = {crash_key(crash) for crash in CRASHES}
         for entry in entries:
             with self.subTest(entry=entry.name):
                 self.assertEqual(known(entry), keys)
@@ -44,8 +46,8 @@
         """All know all, half a second apart."""
 
         async def act(regions: Regions) -> None:
-            for end in ENDS:
-                write(regions, end)
+            for crash in CRASHES:
+                write(regions, crash)
                 await asyncio.sleep(0.5)
             await asyncio.sleep(KNOWN_WITHIN_S - 0.5)
             self.assert_known(regions.entries)
@@ -57,9 +59,9 @@
 
         async def act(regions: Regions) -> None:
             far = regions.stores[ZONES[2]]
-            far.cut = {one.name for one in regions.of(ZONES[2])}
+            far.cut = {entry.name for entry in regions.of(ZONES[2])}
             await asyncio.sleep(2)
-            write(regions, *ENDS)
+            write(regions, *CRASHES)
             await asyncio.sleep(KNOWN_WITHIN_S)
             self.assert_known(regions.entries)
 
@@ -69,7 +71,7 @@
         """It learns them with all the rest."""
 
         async def act(regions: Regions) -> None:
-            write(regions, *ENDS)
+            write(regions, *CRASHES)
             await asyncio.sleep(1)
             new = regions.add('10.1.0.9')
             new.start()
@@ -84,11 +86,11 @@
         async def act(regions: Regions) -> None:
             lost = regions.of(ZONES[1])
             regions.entries = [
-                one for one in regions.entries if one not in lost
+                entry for entry in regions.entries if entry not in lost
             ]
             store = regions.stores[ZONES[1]]
-            store.cut = {one.name for one in lost}
-            write(regions, *ENDS)
+            store.cut = {entry.name for entry in lost}
+            write(regions, *CRASHES)
             await asyncio.sleep(30)
             regions.entries += lost
             store.cut.clear()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -9,7 +9,7 @@
 import unittest
 from unittest import mock
 
-from linnetwood.calls.crashes import Crashes, End
+from linnetwood.calls.crashes import CrashHistory, CrashRecord
 from linnetwood.calls.directory import Directory, Listed
 from linnetwood.calls.grounds import Vigil
 from linnetwood.calls.standing import Report
@@ -152,12 +152,12 @@
 
     def test_a_refusal(self) -> None:
         """Callers are told the time that is left, suspensions counted."""
-        crashes = Crashes()
-        for life in 'ab':
-            crashes.ended(End('l', life), self.clock.now())
-        before = crashes.wait_s('l', self.clock.now())
+        crashes = CrashHistory()
+        for incarnation in 'ab':
+            crashes.add(CrashRecord('l', incarnation), self.clock.now())
+        before = crashes.refused_for_s('l', self.clock.now())
         self.loop.suspend(SUSPENDED_S)
-        after = crashes.wait_s('l', self.clock.now())
+        after = crashes.refused_for_s('l', self.clock.now())
         self.assertEqual(before - after, SUSPENDED_S)
 
     def test_a_kept_connection(self) -> None:
