--- a/src/linnetwood/calls/attemptlog.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -33,7 +33,7 @@
     """An attempt as it goes out; the time is one of the loop's clock."""
 
     call_id: str
-    likeness: str
+    fingerprint: str
     route: Route
     choice: Choice
     urgency: Urgency
@@ -84,7 +84,7 @@
     log(
         Event.ATTEMPT_ENDED,
         call=sent_attempt.call_id,
-        likeness=sent_attempt.likeness,
+        likeness=sent_attempt.fingerprint,
         route=route.name,
         endpoint=sent_attempt.choice.endpoint.endpoint,
         born=sent_attempt.choice.endpoint.born,
--- a/src/linnetwood/calls/callparsing.py
+++ b/src/linnetwood/calls/callparsing.py
@@ -6,7 +6,7 @@
 from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.dialect import CallHead, Dialect
 from linnetwood.calls.direct import DirectCall
-from linnetwood.calls.likeness import likeness
+from linnetwood.calls.fingerprint import call_fingerprint
 from linnetwood.calls.reach import reach_of
 from linnetwood.calls.routetable import (
     Organisation,
@@ -78,7 +78,7 @@
         incoming.arrived_at + min(wait_limit_s(head), route.timeout_s),
         incoming.config_basis,
         reach_of(route.regions, organisation.regions if organisation else ()),
-        likeness(
+        call_fingerprint(
             organisation.name if organisation else '',
             incoming.method,
             route.host,
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -23,13 +23,12 @@
 )
 from linnetwood.calls.choice import Choice, Chooser, Need
 from linnetwood.calls.configbasis import ConfigBasis
-from linnetwood.calls.crashwatch import Ends, Unwatched
+from linnetwood.calls.crashwatch import CrashObserver, NoCrashWatch
 from linnetwood.calls.dialect import CallHead, Dialect, OutgoingCall, Urgency
 from linnetwood.calls.directory import Listed
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
 from linnetwood.calls.reach import ANYWHERE, Reach
-from linnetwood.calls.reach import ANYWHERE, Reach
 from linnetwood.calls.retries import RETRY_SHARE, RetryBudget
 from linnetwood.calls.routetable import Organisation, Repeat, Route, Service
 from linnetwood.calls.silencetimeouts import SilenceTimeouts
@@ -79,7 +78,7 @@
     config_basis: ConfigBasis = ConfigBasis()
     reach: Reach = ANYWHERE
     # What it shares with calls that ask the same; nothing where unknown.
-    likeness: str = ''
+    fingerprint: str = ''
 
     @property
     def repeatable(self) -> bool:
@@ -114,7 +113,7 @@
     ) -> None:
         """Use the given parts; know no retry budgets yet."""
         self.retry_limits = RetryLimits()
-        self.crash_observer: Ends = Unwatched()
+        self.crash_observer: CrashObserver = NoCrashWatch()
         # Told of each endpoint that has said something of itself just now.
         self.on_notice: Callable[[Listed, float], None] = _ignore_notice
         self._budgets: dict[str, RetryBudget] = {}
@@ -230,7 +229,7 @@
         standing = self._chooser.standing(choice.endpoint.life)
         sent_attempt = SentAttempt(
             call.head.call_id,
-            call.likeness,
+            call.fingerprint,
             call.route,
             choice,
             urgency,
@@ -408,12 +407,12 @@
             since_first_event_s = float()
             if attempt.first_event_at:
                 since_first_event_s = self._loop.time() - attempt.first_event_at
-            self.crash_observer.lost(
-                call.likeness, choice.endpoint, since_first_event_s
+            self.crash_observer.note_lost(
+                call.fingerprint, choice.endpoint, since_first_event_s
             )
         elif result.outcome in {AttemptOutcome.ANSWERED, AttemptOutcome.FAILED}:
             # An endpoint that says so has outlived the call.
-            self.crash_observer.answered(call.likeness)
+            self.crash_observer.note_answered(call.fingerprint)
 
     def _may_retry(
         self,
@@ -434,7 +433,7 @@
             return False
         if answer.begun and call.route.repeat is not Repeat.RESUME:
             return False
-        if not self.crash_observer.may_go_again(call.likeness):
+        if not self.crash_observer.may_retry(call.fingerprint):
             return False
         return not result.reached or budget.spend()
 
--- a/src/linnetwood/calls/greetings.py
+++ b/src/linnetwood/calls/greetings.py
@@ -82,7 +82,9 @@
         """
         self._look_around(route_table)
         digests = {name: one.digest for name, one in self._around.items()}
-        told = _Told(digests, self._wanted.versions_by_model(), route_table.origin)
+        told = _Told(
+            digests, self._wanted.versions_by_model(), route_table.origin
+        )
         before = self._told
         self._told = told
         return told != before
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -19,11 +19,7 @@
 from linnetwood.core.options import Decisions
 from linnetwood.fleet.tellers import Tellers
 from linnetwood.fleet.wanted import WantedVersions
-from linnetwood.platform.feeds import (
-    EndpointFeed,
-    OperatorFeed,
-    StoreFeed,
-)
+from linnetwood.platform.feeds import EndpointFeed, OperatorFeed, StoreFeed
 from linnetwood.platform.ignored import Ignored
 from linnetwood.platform.settings import Residence
 from linnetwood.platform.store import PlatformStore
@@ -31,7 +27,7 @@
 from linnetwood.programs.figures import FiguresPage
 from linnetwood.programs.listening import listen, readiness_server
 from linnetwood.programs.resident_calls import CallPath
-from linnetwood.programs.resident_ends import EndNews
+from linnetwood.programs.resident_crashes import CrashTracker
 from linnetwood.programs.resident_news import StoreNews
 from linnetwood.wire.curldriver import CurlDriver
 from linnetwood.wire.frames import FrameKind
@@ -81,9 +77,9 @@
         chooser = path.chooser
         self.dispatcher = path.dispatcher
         store = PlatformStore(cfg.store, self.driver)
-        ends = EndNews(store, self.directory, clock, rng)
-        self.dispatcher.crash_observer = ends.watch
-        self._ends = ends
+        crashes = CrashTracker(store, self.directory, clock, rng)
+        self.dispatcher.crash_observer = crashes.watch
+        self._crashes = crashes
         self._tellers = Tellers(cfg.host, rng)
         self.reports = Reports(
             self.directory,
@@ -105,7 +101,7 @@
             lambda: self.route_table,
             self.dispatcher,
             path.dialect,
-            ends.before(path.admission),
+            crashes.refuse_before(path.admission),
             rng,
             metrics,
             self.config_age.basis,
@@ -113,7 +109,7 @@
         metrics.gauge(Metric.CONFIG_VERSION, lambda: self.route_table.version)
         metrics.gauge(Metric.STORE_AGE_S, self.config_age.store_age_s)
         chooser.entries = lambda: self.reports.entries
-        ends.entries = chooser.entries
+        crashes.entries = chooser.entries
         self._figures = FiguresPage(metrics)
         wake = self.reports.wake
         ignored = Ignored(lambda: metrics.count(Metric.RECORDS_IGNORED))
@@ -127,7 +123,7 @@
                 lambda zones: self.directory.evacuate(zones, clock.now()),
             ),
             EndpointFeed(self.directory, clock, wake, ignored, cfg.regions),
-            ends.feed(ignored),
+            crashes.feed(ignored),
         )
         self._news = StoreNews(
             cfg,
@@ -150,7 +146,7 @@
         self._figures.start(cfg.host)
         await self.reports.start(cfg.host)
         await self._news.start()
-        self._ends.start()
+        self._crashes.start()
         self._listen(self._callers, cfg.callers)
 
     async def close(self) -> None:
@@ -158,7 +154,7 @@
         self._stopping = True
         self.frontend.stopping = True
         await self._finish_calls()
-        await self._ends.close()
+        await self._crashes.close()
         await self._news.close()
         await self.reports.close()
         self._figures.close()
