--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -18,7 +18,7 @@
 from linnetwood.core.waits import happened
 from linnetwood.fleet.hosts import unpack
 from linnetwood.fleet.news import Address, NewsPort
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import (
     EngineNews,
@@ -53,19 +53,19 @@
         port: int,
         counted: Callable[[], None],
         zone: str,
-        tellers: Tellers,
+        selector: RelaySelector,
     ) -> None:
         """Tell nothing yet; all endpoint processes listen on one port."""
         self.book = RouteBook()
         self.greetings = Greetings(
-            tellers.me,
+            selector.me,
             zone,
             directory,
             chooser.candidates,
             wanted,
         )
         self._zone = zone
-        self._tellers = tellers
+        self._selector = selector
         self._count = EntryCount()
         self._counted = counted
         self._directory = directory
@@ -133,9 +133,11 @@
             self._heard_engine(news.engine, source[0], now)
 
     def _heard_neighbours(self, news: NeighbourNews, now: float) -> None:
-        self._tellers.heard(unpack(news.hosts), now)
+        self._selector.note_seen(unpack(news.hosts), now)
         for one in news.elsewhere:
-            self._tellers.elsewhere.heard(one.zone, unpack(one.hosts), now)
+            self._selector.remote_zones.note_seen(
+                one.zone, unpack(one.hosts), now
+            )
 
     def _heard_engine(self, engine: EngineNews, host: str, now: float) -> None:
         self._wanted.heard(engine.wanted, now)
--- a/src/linnetwood/fleet/resting.py
+++ b/src/linnetwood/fleet/cooldown.py
@@ -4,12 +4,12 @@
 
 from linnetwood.core.backoff import pause_s
 
-_PAUSE_FIRST_S = 0.25
-_PAUSE_MOST_S = 4.0
-_PAUSE_LEAST_SHARE = 0.5
+_FIRST_PAUSE_S = 0.25
+_MAX_PAUSE_S = 4.0
+_MIN_PAUSE_SHARE = 0.5
 
 
-class Resting:
+class Cooldown:
     """Hold until when each is left alone."""
 
     __slots__ = ('_failures', '_rng', '_until')
@@ -20,23 +20,23 @@
         self._failures: dict[str, int] = {}
         self._until: dict[str, float] = {}
 
-    def awake(self, name: str, now: float) -> bool:
+    def is_available(self, name: str, now: float) -> bool:
         """Tell whether one may be tried."""
         return self._until.get(name, now) <= now
 
-    def failed(self, name: str, now: float) -> None:
+    def note_failure(self, name: str, now: float) -> None:
         """Leave one alone for a while."""
         failures = self._failures.get(name, 0)
         self._failures[name] = failures + 1
         self._until[name] = now + pause_s(
             failures,
             self._rng,
-            _PAUSE_FIRST_S,
-            _PAUSE_MOST_S,
-            _PAUSE_LEAST_SHARE,
+            _FIRST_PAUSE_S,
+            _MAX_PAUSE_S,
+            _MIN_PAUSE_SHARE,
         )
 
-    def told(self, name: str) -> None:
+    def note_success(self, name: str) -> None:
         """Forget the failures of one that tells."""
         self._failures.pop(name, None)
 
--- a/src/linnetwood/fleet/hedging.py
+++ b/src/linnetwood/fleet/hedging.py
@@ -12,50 +12,50 @@
 from linnetwood.core.errors import StoreError
 from linnetwood.fleet.ranges import HistoryLostError
 
-_Found = TypeVar('_Found')
-Question = Callable[[], Coroutine[Any, Any, _Found]]
+_Answer = TypeVar('_Answer')
+Request = Callable[[], Coroutine[Any, Any, _Answer]]
 
 
 async def hedged(
-    first: Question[_Found],
-    second: Question[_Found],
-    due_s: float,
-    silent: Callable[[], bool],
-) -> _Found:
+    first: Request[_Answer],
+    second: Request[_Answer],
+    hedge_after_s: float,
+    is_silent: Callable[[], bool],
+) -> _Answer:
     """Give the first answer; the second is asked where none came by its time.
 
     Raises StoreError when all that was asked failed.
     """
     tasks = {asyncio.create_task(first())}
     try:
-        done, _ = await asyncio.wait(tasks, timeout=due_s)
-        if not done and silent():
+        done, _ = await asyncio.wait(tasks, timeout=hedge_after_s)
+        if not done and is_silent():
             tasks.add(asyncio.create_task(second()))
-        return await _first_good(tasks)
+        return await _first_success(tasks)
     finally:
-        await end_all(tasks)
+        await cancel_all(tasks)
 
 
-async def _first_good(tasks: set[asyncio.Task[_Found]]) -> _Found:
+async def _first_success(tasks: set[asyncio.Task[_Answer]]) -> _Answer:
     pending = set(tasks)
     while True:
         done, pending = await asyncio.wait(
             pending,
             return_when=asyncio.FIRST_COMPLETED,
         )
-        good = [task for task in done if not _failed(task)]
-        if good or not pending:
-            return next(iter(good or done)).result()
+        succeeded = [task for task in done if not _failed(task)]
+        if succeeded or not pending:
+            return next(iter(succeeded or done)).result()
 
 
 def _failed(task: asyncio.Task[Any]) -> bool:
     failure = task.exception()
     # That history is lost is an answer.
-    lost = isinstance(failure, HistoryLostError)
-    return isinstance(failure, StoreError) and not lost
+    is_history_lost = isinstance(failure, HistoryLostError)
+    return isinstance(failure, StoreError) and not is_history_lost
 
 
-async def end_all(tasks: Iterable[asyncio.Task[Any]]) -> None:
+async def cancel_all(tasks: Iterable[asyncio.Task[Any]]) -> None:
     """Cancel tasks and wait until they have ended."""
     tasks = tuple(tasks)
     for task in tasks:
--- a/src/linnetwood/fleet/mirror.py
+++ b/src/linnetwood/fleet/mirror.py
@@ -10,18 +10,18 @@
 
 # Beyond so many deletions the oldest are forgotten, and whoever asks from
 # before them is told the whole range.
-MOST_DELETIONS = 4096
+MAX_DELETIONS = 4096
 # Of payloads from here on differences are told, in place of the whole; others
 # are about as small as a difference.
-LARGE_OCTETS = 8192
+LARGE_BYTES = 8192
 # So many versions before the newest are kept, since others may hold them yet.
 # Compressed, one of 1,900 routes takes 60 KB.
-_EARLIER_KEPT = 4
-_FAST = 1
+_EARLIER_VERSIONS = 4
+_FASTEST_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lack:
+class Delta:
     """What brings a range to a revision: all of it, or what changed."""
 
     revision: int
@@ -30,9 +30,9 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Known:
+class _StoredKey:
     record: Record
-    since: float
+    changed_at: float
 
 
 class Mirror:
@@ -41,8 +41,8 @@
     __slots__ = (
         '_deleted',
         '_earlier',
-        '_floor',
-        '_known',
+        '_history_start',
+        '_stored',
         'large_revision',
         'revision',
     )
@@ -52,28 +52,30 @@
         self.revision = 0
         # Of the large payload that was written last.
         self.large_revision = 0
-        self._known: dict[str, _Known] = {}
+        self._stored: dict[str, _StoredKey] = {}
         self._deleted: deque[tuple[int, str, float]] = deque()
         self._earlier: dict[str, deque[tuple[int, bytes]]] = defaultdict(
-            lambda: deque(maxlen=_EARLIER_KEPT),
+            lambda: deque(maxlen=_EARLIER_VERSIONS),
         )
-        self._floor = 0
+        self._history_start = 0
 
-    def replaced(self, found: Snapshot, now: float) -> None:
+    def replace_all(self, snapshot: Snapshot, now: float) -> None:
         """Take in the whole range; deletions before it are not known."""
-        before = self._known
-        self._known = {
-            key: self._kept(key, record, now - found.ages.get(key, math.inf))
-            for key, record in found.records.items()
+        previous = self._stored
+        self._stored = {
+            key: self._merge_age(
+                key, record, now - snapshot.ages.get(key, math.inf)
+            )
+            for key, record in snapshot.records.items()
         }
-        for name, one in before.items():
-            self._keep_earlier(name, one.record)
+        for old_key, stored in previous.items():
+            self._keep_earlier(old_key, stored.record)
         self._note_large()
         self._deleted.clear()
-        self._floor = found.revision
-        self.revision = found.revision
+        self._history_start = snapshot.revision
+        self.revision = snapshot.revision
 
-    def changed(
+    def apply_changes(
         self,
         changes: tuple[Change, ...],
         revision: int,
@@ -81,85 +83,93 @@
     ) -> None:
         """Take in changes, in order."""
         for change in changes:
-            since = now - change.age_s
+            changed_at = now - change.age_s
             if change.record is None:
-                self._delete(change.key, change.gone_at or revision, since)
+                self._delete(
+                    change.key, change.deleted_revision or revision, changed_at
+                )
             else:
-                self._write(change.key, change.record, since)
+                self._write(change.key, change.record, changed_at)
         self.revision = max(self.revision, revision)
         self._note_large()
 
-    def lack(self, after: int, now: float) -> Lack:
+    def delta_since(self, known_revision: int, now: float) -> Delta:
         """Give what somebody lacks who knows everything up to a revision."""
-        if after < self._floor:
-            return Lack(self.revision, whole=True, changes=self._all(now))
-        return Lack(
+        if known_revision < self._history_start:
+            return Delta(
+                self.revision, whole=True, changes=self._all_changes(now)
+            )
+        return Delta(
             self.revision,
             whole=False,
-            changes=tuple(self._since(after, now)),
+            changes=tuple(self._changes_since(known_revision, now)),
         )
 
-    def held(self) -> dict[str, int]:
+    def held_revisions(self) -> dict[str, int]:
         """Give the revisions of the large payloads that are held, by key."""
         return {
-            key: one.record.revision
-            for key, one in self._known.items()
-            if len(one.record.payload) >= LARGE_OCTETS
+            key: stored.record.revision
+            for key, stored in self._stored.items()
+            if len(stored.record.payload) >= LARGE_BYTES
         }
 
-    def payload(self, key: str, revision: int) -> bytes | None:
+    def payload_at(self, key: str, revision: int) -> bytes | None:
         """Give a key's payload as of this write, if it is still known."""
-        known = self._known.get(key)
-        if known is not None and known.record.revision == revision:
-            return known.record.payload
+        stored = self._stored.get(key)
+        if stored is not None and stored.record.revision == revision:
+            return stored.record.payload
         earlier = dict(self._earlier.get(key, ()))
         packed = earlier.get(revision)
         return None if packed is None else zlib.decompress(packed)
 
-    def _kept(self, key: str, record: Record, since: float) -> _Known:
-        known = self._known.get(key)
-        if known is not None and known.record.revision == record.revision:
-            seen = filter(math.isfinite, (since, known.since))
-            since = min(seen, default=since)
-        return _Known(record, since)
+    def _merge_age(
+        self, key: str, record: Record, changed_at: float
+    ) -> _StoredKey:
+        stored = self._stored.get(key)
+        if stored is not None and stored.record.revision == record.revision:
+            seen_at = filter(math.isfinite, (changed_at, stored.changed_at))
+            changed_at = min(seen_at, default=changed_at)
+        return _StoredKey(record, changed_at)
 
-    def _write(self, key: str, record: Record, since: float) -> None:
+    def _write(self, key: str, record: Record, changed_at: float) -> None:
         # A range is read in pages: one read late may hold what comes only now.
-        known = self._known.get(key)
-        if known is None or known.record.revision < record.revision:
-            self._known[key] = _Known(record, since)
-            if known is not None:
-                self._keep_earlier(key, known.record)
+        stored = self._stored.get(key)
+        if stored is None or stored.record.revision < record.revision:
+            self._stored[key] = _StoredKey(record, changed_at)
+            if stored is not None:
+                self._keep_earlier(key, stored.record)
 
     def _note_large(self) -> None:
-        self.large_revision = max(self.held().values(), default=0)
+        self.large_revision = max(self.held_revisions().values(), default=0)
 
     def _keep_earlier(self, key: str, record: Record) -> None:
-        known = self._known.get(key)
-        if known is None or known.record.revision == record.revision:
+        stored = self._stored.get(key)
+        if stored is None or stored.record.revision == record.revision:
             return
-        if len(record.payload) >= LARGE_OCTETS:
-            packed = zlib.compress(record.payload, _FAST)
+        if len(record.payload) >= LARGE_BYTES:
+            packed = zlib.compress(record.payload, _FASTEST_LEVEL)
             self._earlier[key].append((record.revision, packed))
 
-    def _delete(self, key: str, revision: int, since: float) -> None:
+    def _delete(self, key: str, revision: int, changed_at: float) -> None:
         # Where its own revision is not told, that of all the changes it came
         # with is no lower, so nobody who lacks it is left out.
-        self._known.pop(key, None)
-        self._deleted.append((revision, key, since))
-        if len(self._deleted) > MOST_DELETIONS:
-            self._floor = self._deleted.popleft()[0]
+        self._stored.pop(key, None)
+        self._deleted.append((revision, key, changed_at))
+        if len(self._deleted) > MAX_DELETIONS:
+            self._history_start = self._deleted.popleft()[0]
 
-    def _all(self, now: float) -> tuple[Change, ...]:
+    def _all_changes(self, now: float) -> tuple[Change, ...]:
         return tuple(
-            Change(key, one.record, now - one.since)
-            for key, one in self._known.items()
+            Change(key, stored.record, now - stored.changed_at)
+            for key, stored in self._stored.items()
         )
 
-    def _since(self, after: int, now: float) -> Iterator[Change]:
-        for revision, key, since in self._deleted:
-            if revision > after and key not in self._known:
-                yield Change(key, None, now - since)
-        for name, one in self._known.items():
-            if one.record.revision > after:
-                yield Change(name, one.record, now - one.since)
+    def _changes_since(
+        self, known_revision: int, now: float
+    ) -> Iterator[Change]:
+        for revision, key, changed_at in self._deleted:
+            if revision > known_revision and key not in self._stored:
+                yield Change(key, None, now - changed_at)
+        for stored_key, stored in self._stored.items():
+            if stored.record.revision > known_revision:
+                yield Change(stored_key, stored.record, now - stored.changed_at)
--- a/src/linnetwood/fleet/neighbours.py
+++ b/src/linnetwood/fleet/neighbours.py
@@ -5,7 +5,7 @@
 from linnetwood.fleet.members import HASH_BYTES, place_hash
 
 # As many values as a place on the ring may have.
-_HASHES = float(1 << (8 * HASH_BYTES))
+_HASH_VALUES = float(1 << (8 * HASH_BYTES))
 
 
 def neighbours(me: str, vms: list[str], manifest: str, count: int) -> list[str]:
@@ -17,20 +17,22 @@
     ring = sorted(set(vms) | {me}, key=place_hash)
     if len(ring) <= count + 1:
         return [vm for vm in ring if vm != me]
-    here = ring.index(me)
-    found: list[str] = []
+    own_index = ring.index(me)
+    chosen: list[str] = []
     step = 0
-    while len(found) < count:
+    while len(chosen) < count:
         distance = place_hash(f'{manifest}~{step}') % len(ring)
         step += 1
         for side in (distance, -distance):
-            vm = ring[(here + side) % len(ring)]
-            if vm != me and vm not in found:
-                found.append(vm)
-    return found[:count]
+            vm = ring[(own_index + side) % len(ring)]
+            if vm != me and vm not in chosen:
+                chosen.append(vm)
+    return chosen[:count]
 
 
-def partners(me: str, vms: Iterable[str], matter: str, count: int) -> list[str]:
+def partners(
+    me: str, vms: Iterable[str], manifest: str, count: int
+) -> list[str]:
     """Give about so many VMs that are paired with this one by chance.
 
     A pair is one by the hash of both names, so that both sides agree and a VM
@@ -43,9 +45,9 @@
     if len(others) <= count:
         return sorted(others)
     share = count / len(others)
-    return sorted(vm for vm in others if _chance(me, vm, matter) < share)
+    return sorted(vm for vm in others if _chance(me, vm, manifest) < share)
 
 
-def _chance(one: str, other: str, matter: str) -> float:
-    first, second = sorted((one, other))
-    return place_hash(f'{matter}|{first}|{second}') / _HASHES
+def _chance(vm: str, other: str, manifest: str) -> float:
+    first, second = sorted((vm, other))
+    return place_hash(f'{manifest}|{first}|{second}') / _HASH_VALUES
--- a/src/linnetwood/fleet/rangeparts.py
+++ b/src/linnetwood/fleet/rangecodec.py
@@ -6,8 +6,8 @@
 from types import MappingProxyType
 
 from linnetwood.core.errors import CodecError
-from linnetwood.fleet.mirror import LARGE_OCTETS, Mirror
-from linnetwood.fleet.patches import Patch, difference, patched
+from linnetwood.fleet.mirror import LARGE_BYTES, Mirror
+from linnetwood.fleet.patches import Patch, make_patch, apply_patch
 from linnetwood.fleet.ranges import Change, Record
 from linnetwood.gen.wire.ttypes import RangeItem, RangeItems
 from linnetwood.wire.codec import decode, encode
@@ -16,14 +16,14 @@
 _MILLISECONDS = 1000
 _NEVER = -1
 # Text shrinks nearly as well at the quickest level, and processors are small.
-_FAST = 1
-_MOST_UNPACKED = 8 * MAX_FRAME
-_NOTHING: Mapping[str, int] = MappingProxyType({})
+_FASTEST_LEVEL = 1
+_MAX_UNPACKED_BYTES = 8 * MAX_FRAME
+_NONE_HELD: Mapping[str, int] = MappingProxyType({})
 
 
 def pack(
     changes: Iterable[Change],
-    held: Mapping[str, int] = _NOTHING,
+    held: Mapping[str, int] = _NONE_HELD,
     mirror: Mirror | None = None,
 ) -> bytes:
     """Encode and compress changes; a configuration's text shrinks a lot.
@@ -31,13 +31,13 @@
     Large payloads are told as what they differ in from the revisions that are
     held, by key, as far as the mirror knows these.
     """
-    rows = [_to_item(one, held, mirror) for one in changes]
-    return zlib.compress(encode(RangeItems(rows)), _FAST)
+    range_items = [_to_item(change, held, mirror) for change in changes]
+    return zlib.compress(encode(RangeItems(range_items)), _FASTEST_LEVEL)
 
 
 def unpack(
     packed: bytes,
-    packed_ms: int,
+    packed_age_ms: int,
     mirror: Mirror | None = None,
 ) -> Iterator[Change]:
     """Give changes that were packed so long ago; raise CodecError.
@@ -46,15 +46,17 @@
     """
     unpacker = zlib.decompressobj()
     try:
-        plain = unpacker.decompress(packed, _MOST_UNPACKED)
+        plain = unpacker.decompress(packed, _MAX_UNPACKED_BYTES)
     except zlib.error as exc:
         raise CodecError('bad-message', f'RangeItems: {exc}') from exc
     if unpacker.unconsumed_tail:
-        raise CodecError('bad-message', f'RangeItems: over {_MOST_UNPACKED}')
-    for one in decode(RangeItems, plain).items:
-        record = None if one.gone else _record(one, mirror)
-        age_s = as_seconds(one.age_ms) + packed_ms / _MILLISECONDS
-        yield Change(one.key, record, age_s)
+        raise CodecError(
+            'bad-message', f'RangeItems: over {_MAX_UNPACKED_BYTES}'
+        )
+    for range_item in decode(RangeItems, plain).items:
+        record = None if range_item.gone else _to_record(range_item, mirror)
+        age_s = as_seconds(range_item.age_ms) + packed_age_ms / _MILLISECONDS
+        yield Change(range_item.key, record, age_s)
 
 
 def _to_item(
@@ -66,31 +68,35 @@
     record = change.record
     if record is None:
         return RangeItem(key=change.key, gone=True, age_ms=age_ms)
-    told = RangeItem(
+    range_item = RangeItem(
         key=change.key,
         revision=record.revision,
         payload=record.payload,
         age_ms=age_ms,
     )
     base = held.get(change.key, 0)
-    old = mirror.payload(change.key, base) if mirror and base else None
-    if old is not None and len(record.payload) >= LARGE_OCTETS:
-        patch = difference(old, record.payload)
-        told.base = base
-        told.runs = list(patch.runs)
-        told.payload = patch.added
-        told.check = patch.check
-    return told
-
-
-def _record(told: RangeItem, mirror: Mirror | None) -> Record:
-    if not told.base:
-        return Record(told.payload, told.revision)
-    old = mirror.payload(told.key, told.base) if mirror else None
+    old = mirror.payload_at(change.key, base) if mirror and base else None
+    if old is not None and len(record.payload) >= LARGE_BYTES:
+        patch = make_patch(old, record.payload)
+        range_item.base = base
+        range_item.runs = list(patch.runs)
+        range_item.payload = patch.added
+        range_item.check = patch.crc32
+    return range_item
+
+
+def _to_record(range_item: RangeItem, mirror: Mirror | None) -> Record:
+    if not range_item.base:
+        return Record(range_item.payload, range_item.revision)
+    old = mirror.payload_at(range_item.key, range_item.base) if mirror else None
     if old is None:
-        raise CodecError('patch-base-missing', f'{told.key} {told.base}')
-    patch = Patch(told.runs, told.payload, told.check)
-    return Record(patched(old, patch, _MOST_UNPACKED), told.revision)
+        raise CodecError(
+            'patch-base-missing', f'{range_item.key} {range_item.base}'
+        )
+    patch = Patch(range_item.runs, range_item.payload, range_item.check)
+    return Record(
+        apply_patch(old, patch, _MAX_UNPACKED_BYTES), range_item.revision
+    )
 
 
 def as_milliseconds(seconds: float) -> int:
--- /dev/null
+++ b/src/linnetwood/fleet/rangefollower.py
@@ -0,0 +1,426 @@
+"""Follow a range of keys: read it once, then wait for what changes.
+
+Where a neighbour tells what the range holds and since when it knows, the store
+is left alone; as soon as that belief is too old, it is asked directly.
+"""
+
+import asyncio
+import dataclasses
+import functools
+import math
+from collections.abc import Iterable, Iterator
+from random import Random
+
+from linnetwood.core.backoff import pause_s
+from linnetwood.core.errors import StoreError
+from linnetwood.core.events import Event, log
+from linnetwood.core.owner import Owner
+from linnetwood.fleet.freshness import (
+    DEFAULT_BOUNDS,
+    FreshnessBounds,
+    RelayedUpdate,
+)
+from linnetwood.fleet.hedging import Request, cancel_all, hedged
+from linnetwood.fleet.mirror import LARGE_BYTES, Mirror
+from linnetwood.fleet.ranges import (
+    Change,
+    Changes,
+    HistoryLostError,
+    RangeStore,
+    RangeSink,
+    Snapshot,
+)
+
+# Entries of live endpoints are back within two seconds of the store's return,
+# so a store that is back is to be noticed well within one.
+_FIRST_PAUSE_S = 0.1
+_MAX_PAUSE_S = 0.8
+_MIN_PAUSE_SHARE = 0.5
+_MIN_PAUSE_S = 0.05
+
+# Whoever hears a neighbour asks a store that fails half as often: the neighbour
+# hears of its return first, and one copy crosses the link in place of many.
+_SUBSCRIBER_MAX_PAUSE_S = 1.6
+
+# Whoever heard nothing for so long reads the range anew: that answer grows with
+# no version that came and went meanwhile. One wait that is lost takes less.
+_REREAD_AFTER_S = 5.0
+
+# A store that is slow is asked to wait for less, so that its answers come as
+# often; but each costs a call.
+_MIN_WAIT_S = 0.1
+# Ages are told in milliseconds: what differs by less is the same answer.
+_AGE_RESOLUTION_S = 0.01
+
+
+class RangeFollower(Owner):
+    """Own one range: a task that reads, waits and begins again."""
+
+    def __init__(
+        self,
+        store: RangeStore,
+        prefix: str,
+        sink: RangeSink,
+        rng: Random,
+        bounds: FreshnessBounds = DEFAULT_BOUNDS,
+    ) -> None:
+        """Follow nothing yet."""
+        super().__init__()
+        self.synced = asyncio.Event()
+        # By the clock of the loop, which is that of all ages.
+        self.confirmed_at = -math.inf
+        # As of when the store itself confirmed all that is known.
+        self.store_confirmed_at = -math.inf
+        self.last_byte_at = -math.inf
+        self.first_byte_at = -math.inf
+        self.outages = 0
+        # Whether a neighbour is there to be heard, and whether it is one that
+        # may itself hear this entry: then nothing is passed on.
+        self.has_relays = False
+        self.uses_fallback_relay = False
+        # How many neighbours ask before this entry where all tellers fail.
+        self.stagger_position = 0
+        self.mirror = Mirror()
+        self._store = store
+        self._prefix = prefix
+        self._sink = sink
+        self._rng = rng
+        self._bounds = bounds
+        self._revision = 0
+        self._failures = 0
+        self._is_unreachable = False
+        self._answered_at = -math.inf
+        self._advanced_at = -math.inf
+        self._trusted_until = -math.inf
+        self._receiving_until = math.inf
+        self._overhead_s = float()
+        self._relay_outages: int | None = None
+        self._subscribers: set[asyncio.Event] = set()
+        self._request_task: asyncio.Task[None] | None = None
+
+    @property
+    def revision(self) -> int:
+        """Give the revision up to which everything is known."""
+        return self._revision
+
+    def subscribe(self, event: asyncio.Event) -> None:
+        """Set an event at each change from now on."""
+        self._subscribers.add(event)
+
+    def unsubscribe(self, event: asyncio.Event) -> None:
+        """Set it no more."""
+        self._subscribers.discard(event)
+
+    @property
+    def is_store_silent(self) -> bool:
+        """Tell whether the store itself has not answered lately."""
+        return self._is_old(self._answered_at)
+
+    @property
+    def is_isolated(self) -> bool:
+        """Tell whether neither the store nor a neighbour was heard lately."""
+        return self.is_store_silent and self._is_old(self.confirmed_at)
+
+    def note_bytes(self) -> None:
+        """Note that bytes of an answer came from the store."""
+        now = asyncio.get_running_loop().time()
+        if not math.isfinite(self.first_byte_at):
+            self.first_byte_at = now
+        self.last_byte_at = now
+
+    def apply_update(self, update: RelayedUpdate) -> bool:
+        """Take in what a neighbour tells; tell whether it is trusted.
+
+        While it is, it stands for the store's word.
+        """
+        now = asyncio.get_running_loop().time()
+        trusted_s = self._trusted_s(update, now)
+        if update.outages != self._relay_outages:
+            if self._relay_outages is not None:
+                self.outages += 1
+                self._sink.mark_unreachable()
+            self._relay_outages = update.outages
+        if update.revision > self._revision:
+            self._apply_relayed(update)
+            self._cancel_request_if_large(update)
+        elif update.revision < self._revision:
+            # It has yet to learn what is known here.
+            return trusted_s > 0
+        self._note_confirmed(now - update.age_s)
+        if self.uses_fallback_relay:
+            # The store is asked all the same: it may be back for this entry.
+            return trusted_s > 0
+        self._trusted_until = max(self._trusted_until, now + trusted_s)
+        if trusted_s > 0:
+            self._failures = 0
+        # One's own answer is given up also if it flows: after an outage all
+        # would share the link, and the neighbour's would come later for all.
+        if self._request_task and self._revision and now < self._trusted_until:
+            self._request_task.cancel()
+        return trusted_s > 0
+
+    def apply_remote_update(self, update: RelayedUpdate) -> None:
+        """Take in what an entry of another zone tells, beside the store's word.
+
+        Whoever has a change first passes it on as a difference, while whole
+        configurations are still under way to the other zones: 700 KB of 1,900
+        routes take 0.9 s of a link at 6 Mbit/s, a change of one of them 0.3 KB.
+        The store goes on being asked, so that nobody rests on another zone.
+        """
+        if update.revision < self._revision:
+            return
+        now = asyncio.get_running_loop().time()
+        if update.revision > self._revision:
+            self._apply_relayed(update)
+            self._cancel_request_if_large(update)
+        self._note_confirmed(now - update.age_s)
+
+    def forget_relay(self) -> None:
+        """Expect nothing more from the neighbour; another counts anew."""
+        self._relay_outages = None
+        self.uses_fallback_relay = False
+
+    async def _run(self) -> None:
+        loop = asyncio.get_running_loop()
+        while True:
+            await self._wait_until_due()
+            began = loop.time()
+            try:
+                answered = await self._request()
+            except HistoryLostError:
+                log(Event.STORE_HISTORY_LOST, prefix=self._prefix)
+                # The store itself was there: what is missing now is gone.
+                self._revision = 0
+            except StoreError as exc:
+                self._failures += 1
+                self._note_unreachable(exc)
+                self._sink.mark_unreachable()
+                # A call that hung was a pause itself; the store may be back.
+                left_s = self._pause_s() - (loop.time() - began)
+                await asyncio.sleep(max(_MIN_PAUSE_S, left_s))
+            else:
+                if answered:
+                    self._failures = 0
+                    self._note_reachable()
+
+    async def _wait_until_due(self) -> None:
+        loop = asyncio.get_running_loop()
+        while self._revision and loop.time() < self._request_at():
+            await asyncio.sleep(self._request_at() - loop.time())
+
+    def _request_at(self) -> float:
+        """Give when the store is asked, if no neighbour tells until then.
+
+        One after the other, so that the first answer can be passed on: as many
+        copies at once over one link take as many times as long.
+        """
+        stagger_s = min(
+            self.stagger_position * self._bounds.batch_delay_s,
+            self._bounds.max_stagger_s,
+        )
+        return self._trusted_until + stagger_s
+
+    async def _request(self) -> bool:
+        """Ask the store; tell whether it answered before a neighbour did."""
+        task = asyncio.create_task(self._read_or_wait())
+        self._request_task = task
+        try:
+            await asyncio.wait((task,))
+        finally:
+            self._request_task = None
+            await cancel_all((task,))
+        if task.cancelled():
+            return False
+        task.result()
+        return True
+
+    async def _read_or_wait(self) -> None:
+        asked_at = asyncio.get_running_loop().time()
+        self.first_byte_at = -math.inf
+        # An answer that took long is not asked for again for that.
+        last_at = max(self.confirmed_at, self._answered_at, self._advanced_at)
+        if not self._revision or asked_at - last_at > _REREAD_AFTER_S:
+            await self._read()
+            return
+        # An old belief is to be confirmed soon.
+        age_s = asked_at - self.confirmed_at
+        wait_s = self._bounds.wait_s - self._overhead_s - age_s
+        wait_s = max(_MIN_WAIT_S, wait_s)
+        answer = await hedged(
+            self._wait_request(wait_s),
+            self._wait_request(_MIN_WAIT_S),
+            self._hedge_after_s(wait_s, age_s),
+            lambda: not math.isfinite(self.first_byte_at),
+        )
+        # A wait that ends empty confirms what is believed, too.
+        full_wait_s = 0 if answer.changes else wait_s
+        began_at = self._note_answer(asked_at, full_wait_s)
+        if not answer.changes:
+            self._overhead_s = max(0, began_at - asked_at - wait_s)
+        if answer.revision > self._revision:
+            # Another entry may have told a part of it meanwhile.
+            missing = (
+                change
+                for change in answer.changes
+                if change.may_follow(self._revision)
+            )
+            # All were written before the answer began to come.
+            aged = _add_age(missing, self.last_byte_at - began_at)
+            self._apply_changes(Changes(tuple(aged), answer.revision))
+        if answer.changes:
+            await asyncio.sleep(self._batch_delay_s())
+
+    def _wait_request(self, wait_s: float) -> Request[Changes]:
+        wait = self._store.wait
+        return functools.partial(wait, self._prefix, self._revision, wait_s)
+
+    def _hedge_after_s(self, wait_s: float, age_s: float) -> float:
+        """Give when a wait is asked again; a store that fails is asked once."""
+        if self._failures:
+            return math.inf
+        due_s = wait_s + self._overhead_s
+        return due_s + self._bounds.hedge_delay_at_s(age_s + due_s)
+
+    def _batch_delay_s(self) -> float:
+        """Give for how long changes are gathered: a belief that ages is not."""
+        age_s = asyncio.get_running_loop().time() - self.confirmed_at
+        return max(
+            0, min(self._bounds.batch_delay_s, self._bounds.wait_s - age_s)
+        )
+
+    async def _read(self) -> None:
+        asked_at = asyncio.get_running_loop().time()
+        snapshot = await self._store.read(self._prefix)
+        self._note_answer(asked_at)
+        if snapshot.revision < self._revision:
+            # A neighbour told more meanwhile.
+            return
+        self._apply_snapshot(snapshot)
+
+    def _apply_snapshot(self, snapshot: Snapshot) -> None:
+        now = asyncio.get_running_loop().time()
+        self.mirror.replace_all(snapshot, now)
+        self._sink.replace_all(snapshot)
+        self._advance(snapshot.revision)
+
+    def _apply_changes(self, answer: Changes) -> None:
+        now = asyncio.get_running_loop().time()
+        self.mirror.apply_changes(answer.changes, answer.revision, now)
+        if answer.changes:
+            self._sink.apply_changes(answer.changes)
+        self._advance(answer.revision)
+
+    def _apply_relayed(self, update: RelayedUpdate) -> None:
+        if not update.whole:
+            self._apply_changes(Changes(update.changes, update.revision))
+            return
+        records = {
+            change.key: change.record
+            for change in update.changes
+            if change.record is not None
+        }
+        ages = {change.key: change.age_s for change in update.changes}
+        self._apply_snapshot(Snapshot(records, update.revision, ages))
+
+    def _cancel_request_if_large(self, update: RelayedUpdate) -> None:
+        """Ask the store anew: it sends the same whole, over a shared link."""
+        if self._request_task and _is_large(update):
+            self._request_task.cancel()
+
+    def _advance(self, revision: int) -> None:
+        self._revision = revision
+        self._advanced_at = asyncio.get_running_loop().time()
+        self.synced.set()
+        self._notify()
+
+    def _notify(self) -> None:
+        for event in self._subscribers:
+            event.set()
+
+    def _trusted_s(self, update: RelayedUpdate, now: float) -> float:
+        fresh_s = self._bounds.fresh_for_s(update)
+        if fresh_s > 0:
+            self._receiving_until = math.inf
+            return fresh_s
+        receiving_s = self._bounds.receiving_for_s(update)
+        if receiving_s > 0:
+            # Not for ever: one answer after the other may break off.
+            until = min(
+                self._receiving_until, now + self._bounds.max_receiving_s
+            )
+            self._receiving_until = until
+            return min(receiving_s, until - now)
+        return fresh_s
+
+    def _pause_s(self) -> float:
+        return pause_s(
+            self._failures,
+            self._rng,
+            _FIRST_PAUSE_S,
+            _SUBSCRIBER_MAX_PAUSE_S if self.has_relays else _MAX_PAUSE_S,
+            _MIN_PAUSE_SHARE,
+        )
+
+    def _is_old(self, at: float) -> bool:
+        age_s = asyncio.get_running_loop().time() - at
+        return age_s > self._bounds.max_age_s
+
+    def _note_answer(self, asked_at: float, waited_s: float = 0) -> float:
+        """Note that the store answered; give when its answer began to come.
+
+        It waited for so long, at least, unless the answer came sooner.
+        """
+        now = asyncio.get_running_loop().time()
+        self.last_byte_at = now
+        self._answered_at = now
+        self._receiving_until = math.inf
+        began_at = self.first_byte_at
+        began_at = began_at if math.isfinite(began_at) else now
+        # An answer is made up after its question, and may be on its way for any
+        # time: from its arrival on, a belief would be younger than the truth.
+        until = asked_at + waited_s
+        known_at = until if until <= began_at else asked_at
+        self.store_confirmed_at = max(self.store_confirmed_at, known_at)
+        self._note_confirmed(known_at)
+        return began_at
+
+    def _note_confirmed(self, known_at: float) -> None:
+        is_newer = known_at > self.confirmed_at + _AGE_RESOLUTION_S
+        self.confirmed_at = max(self.confirmed_at, known_at)
+        if is_newer:
+            # Listeners trust what is confirmed, also where nothing changed.
+            self._notify()
+
+    def _note_unreachable(self, exc: StoreError) -> None:
+        self.outages += 1
+        if not self._is_unreachable:
+            log(
+                Event.STORE_AWAY,
+                prefix=self._prefix,
+                code=exc.code,
+                detail=exc.detail,
+                revision=self._revision,
+            )
+        self._is_unreachable = True
+
+    def _note_reachable(self) -> None:
+        if self._is_unreachable:
+            log(
+                Event.STORE_BACK,
+                prefix=self._prefix,
+                revision=self._revision,
+            )
+        self._is_unreachable = False
+
+
+def _add_age(changes: Iterable[Change], seconds: float) -> Iterator[Change]:
+    """Add what changes took to come."""
+    for change in changes:
+        yield dataclasses.replace(change, age_s=change.age_s + seconds)
+
+
+def _is_large(update: RelayedUpdate) -> bool:
+    return any(
+        change.record is not None and len(change.record.payload) >= LARGE_BYTES
+        for change in update.changes
+    )
--- a/src/linnetwood/fleet/ranges.py
+++ b/src/linnetwood/fleet/ranges.py
@@ -30,13 +30,13 @@
     key: str
     record: Record | None
     age_s: float = 0
-    gone_at: int = 0
+    deleted_revision: int = 0
 
-    def since(self, revision: int) -> bool:
+    def may_follow(self, revision: int) -> bool:
         """Tell whether it may have come after a revision."""
         if self.record is not None:
             return self.record.revision > revision
-        return not self.gone_at or self.gone_at > revision
+        return not self.deleted_revision or self.deleted_revision > revision
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,14 +69,14 @@
         """Wait for changes; raise HistoryLostError if they can't be told."""
 
 
-class Sink(Protocol):
+class RangeSink(Protocol):
     """Take in what a range holds."""
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, snapshot: Snapshot) -> None:
         """Take in the whole range."""
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
 
-    def away(self) -> None:
+    def mark_unreachable(self) -> None:
         """Learn that the store could not be read just now."""
--- /dev/null
+++ b/src/linnetwood/fleet/remotezonesubscriber.py
@@ -0,0 +1,141 @@
+"""Hear entries of other zones, so that no zone rests on its own way alone.
+
+Whatever reaches one zone first, whole, goes on to the others as a difference. A
+zone that the store turns away, or whose link to it is narrow, is told in time.
+"""
+
+import asyncio
+import math
+
+from linnetwood.core.errors import LinnetwoodError, WireError
+from linnetwood.core.events import Event, log
+from linnetwood.core.owner import Owner
+from linnetwood.fleet.rangefollower import RangeFollower
+from linnetwood.fleet.relayselector import RelaySelector
+from linnetwood.fleet.relayreader import RelayReader
+from linnetwood.wire.connections import SILENT_S, Dialler
+from linnetwood.wire.frames import FrameStream
+
+_CHECK_EVERY_S = 0.25
+# Whoever knows nothing yet waits for somebody to hear.
+_STARTUP_CHECK_EVERY_S = 0.02
+# A neighbour that tells is found sooner, also at a start.
+_ISOLATED_AFTER_S = 0.3
+# Whoever knows nothing is told the whole range, 60 KB with 1,900 routes.
+_STARTUP_ZONES = 2
+# Whoever was lost goes on hearing other zones for so long: it is told by these
+# within a round trip, and would be lost again as soon as it left them.
+_STAY_SUBSCRIBED_S = 5.0
+
+
+class RemoteZoneSubscriber(Owner):
+    """Own a connection to each of a few other zones, while they are needed.
+
+    Those that a zone hears need them, and whoever hears nobody else.
+    """
+
+    def __init__(
+        self,
+        follower: RangeFollower,
+        selector: RelaySelector,
+        dialler: Dialler,
+        port: int,
+    ) -> None:
+        """All entries tell on one port."""
+        super().__init__()
+        self._follower = follower
+        self._selector = selector
+        self._remote_zones = selector.remote_zones
+        self._dialler = dialler
+        self._port = port
+        self._in_touch_at = -math.inf
+        self._isolated_until = -math.inf
+        self._zone_tasks: dict[str, asyncio.Task[None]] = {}
+
+    async def close(self) -> None:
+        """Stop listening."""
+        await super().close()
+        await self._subscribe_only_to([])
+
+    async def _run(self) -> None:
+        loop = asyncio.get_running_loop()
+        self._in_touch_at = loop.time()
+        while True:
+            known_revision = self._follower.revision
+            zones = self._needed_zones(loop.time())
+            await self._subscribe_only_to(
+                zones if known_revision else zones[:_STARTUP_ZONES]
+            )
+            await asyncio.sleep(
+                _CHECK_EVERY_S if known_revision else _STARTUP_CHECK_EVERY_S
+            )
+
+    def _needed_zones(self, now: float) -> list[str]:
+        if not self._follower.is_isolated:
+            self._in_touch_at = now
+        elif now - self._in_touch_at > _ISOLATED_AFTER_S:
+            self._isolated_until = now + _STAY_SUBSCRIBED_S
+        if self._selector.is_relay or now < self._isolated_until:
+            return self._remote_zones.zones(now)
+        return []
+
+    async def _subscribe_only_to(self, zones: list[str]) -> None:
+        for zone in self._zone_tasks.keys() - set(zones):
+            task = self._zone_tasks.pop(zone)
+            task.cancel()
+            await asyncio.gather(task, return_exceptions=True)
+        for zone in zones:
+            if zone not in self._zone_tasks:
+                task = asyncio.create_task(self._follow_zone(zone))
+                self._zone_tasks[zone] = task
+
+    async def _follow_zone(self, zone: str) -> None:
+        loop = asyncio.get_running_loop()
+        while True:
+            host = self._remote_zones.choose(zone, loop.time())
+            if host is None:
+                await asyncio.sleep(_CHECK_EVERY_S)
+                continue
+            try:
+                await self._follow_entry(zone, host)
+            except LinnetwoodError as exc:
+                self._remote_zones.note_failure(host, loop.time())
+                log(
+                    Event.TELLER_LEFT,
+                    teller=host,
+                    zone=zone,
+                    code=exc.code,
+                    detail=exc.detail,
+                    revision=self._follower.revision,
+                )
+
+    async def _follow_entry(self, zone: str, host: str) -> None:
+        stream = await self._dialler.dial((host, self._port))
+        try:
+            await self._read_updates(stream, zone, host)
+        finally:
+            stream.close()
+
+    async def _read_updates(
+        self,
+        stream: FrameStream,
+        zone: str,
+        host: str,
+    ) -> None:
+        mirror = self._follower.mirror
+        known_revision = -1
+        reader = RelayReader(
+            stream, mirror, host, is_remote=True, silence_timeout_s=SILENT_S
+        )
+        while True:
+            if mirror.revision != known_revision:
+                # What is known here need not be told.
+                known_revision = mirror.revision
+                await reader.request()
+            update = await reader.read()
+            self._remote_zones.note_success(host)
+            self._follower.apply_remote_update(update)
+            if update.preferred and host not in update.preferred:
+                # It hears these itself; they hear the store.
+                self._remote_zones.prefer(zone, update.preferred)
+                raise WireError('teller-names-another', update.preferred[0])
--- a/src/linnetwood/fleet/introduction.py
+++ b/src/linnetwood/fleet/startupsync.py
@@ -12,61 +12,65 @@
 from linnetwood.core.events import Event, log
 from linnetwood.core.owner import Owner
 from linnetwood.core.waits import happened
-from linnetwood.fleet.following import Following
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.rangefollower import RangeFollower
+from linnetwood.fleet.relayselector import RelaySelector
 
 # A question and its answer take milliseconds where somebody is there; datagrams
 # may be lost.
-_ASK_EVERY_S = 0.1
+_REQUEST_EVERY_S = 0.1
 # So long an entry that nobody tells looks for others; what a whole range takes
 # over a link at a third of its rate.
-_LOOK_FOR_S = 1.0
+_SEARCH_LIMIT_S = 1.0
 # So many processes beside engines are asked each time.
-_ASKED = 4
+_HOSTS_PER_REQUEST = 4
 
 
-class Introduction(Owner):
+class StartupSync(Owner):
     """Own the start of a follower, and look for whom to hear."""
 
     def __init__(
         self,
-        following: Following,
-        tellers: Tellers,
-        look: Callable[[], Awaitable[list[str]]],
-        ask: Callable[[list[str]], None],
+        follower: RangeFollower,
+        selector: RelaySelector,
+        find_hosts: Callable[[], Awaitable[list[str]]],
+        request_entries: Callable[[list[str]], None],
     ) -> None:
         """Look up who can name entries, nearest first, and ask some of them."""
         super().__init__()
-        self._following = following
-        self._tellers = tellers
-        self._look = look
-        self._ask = ask
+        self._follower = follower
+        self._selector = selector
+        self._find_hosts = find_hosts
+        self._request_entries = request_entries
 
     async def _run(self) -> None:
         # Whoever is told gives its own read up; where nobody is there to tell,
         # as after a restart of all, no time is lost.
-        self._following.start()
-        began = asyncio.get_running_loop().time()
+        self._follower.start()
+        started_at = asyncio.get_running_loop().time()
         try:
-            await self._ask_until_told(await self._look(), _LOOK_FOR_S)
+            await self._request_until_synced(
+                await self._find_hosts(), _SEARCH_LIMIT_S
+            )
         except StoreError as exc:
             log(Event.INTRODUCTION_FAILED, code=exc.code, detail=exc.detail)
         log(
             Event.INTRODUCED,
-            revision=self._following.revision,
-            behind=self._tellers.behind,
-            took_s=round(asyncio.get_running_loop().time() - began, 3),
+            revision=self._follower.revision,
+            behind=self._selector.stagger_position,
+            took_s=round(asyncio.get_running_loop().time() - started_at, 3),
         )
 
-    async def _ask_until_told(self, hosts: list[str], seconds: float) -> None:
+    async def _request_until_synced(
+        self, hosts: list[str], seconds: float
+    ) -> None:
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
-        while not self._told and loop.time() < until:
-            self._ask(hosts[:_ASKED])
-            await happened(self._following.learned, _ASK_EVERY_S)
+        while not self._is_synced and loop.time() < until:
+            self._request_entries(hosts[:_HOSTS_PER_REQUEST])
+            await happened(self._follower.synced, _REQUEST_EVERY_S)
             # The next ones, should these be gone.
-            hosts = hosts[_ASKED:] + hosts[:_ASKED]
+            hosts = hosts[_HOSTS_PER_REQUEST:] + hosts[:_HOSTS_PER_REQUEST]
 
     @property
-    def _told(self) -> bool:
-        return self._following.learned.is_set()
+    def _is_synced(self) -> bool:
+        return self._follower.synced.is_set()
--- a/src/linnetwood/platform/endboard.py
+++ b/src/linnetwood/platform/endboard.py
@@ -74,7 +74,7 @@
         self._clock = clock
         self._ignored = ignored or Ignored()
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         """Take in all of them; one that nobody saw come counts from now."""
         now = self._clock.now()
         ends = []
@@ -85,7 +85,7 @@
                 ends.append((end, now - _known_s(age_s)))
         self._crashes.replaced(ends)
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
         now = self._clock.now()
         for change in changes:
--- a/src/linnetwood/platform/feeds.py
+++ b/src/linnetwood/platform/feeds.py
@@ -48,7 +48,7 @@
         self._first = True
         self._revisions: dict[str, int] = {}
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         """Take in everything that the operators wrote."""
         for key, record in found.records.items():
             # What nobody saw come, and was not there before, came just now.
@@ -58,7 +58,7 @@
         self._first = False
         self._leave_zones(frozenset(filter(None, map(_zone, found.records))))
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Take in what they wrote since; of one key only the last counts."""
         newest = {one.key: one for one in changes}
         for key, change in newest.items():
@@ -119,27 +119,27 @@
         self._endpoints = endpoints
         self._ends = ends
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         """Take in everything that the store holds."""
-        self._operator.replaced(_part(found, records.OPERATOR_PREFIX))
-        self._endpoints.replaced(_part(found, records.ENDPOINT_PREFIX))
-        self._ends.replaced(_part(found, records.END_PREFIX))
+        self._operator.replace_all(_part(found, records.OPERATOR_PREFIX))
+        self._endpoints.replace_all(_part(found, records.ENDPOINT_PREFIX))
+        self._ends.replace_all(_part(found, records.END_PREFIX))
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
         written = _under(records.OPERATOR_PREFIX, changes)
         listed = _under(records.ENDPOINT_PREFIX, changes)
         ended = _under(records.END_PREFIX, changes)
         if written:
-            self._operator.changed(written)
+            self._operator.apply_changes(written)
         if listed:
-            self._endpoints.changed(listed)
+            self._endpoints.apply_changes(listed)
         if ended:
-            self._ends.changed(ended)
+            self._ends.apply_changes(ended)
 
-    def away(self) -> None:
+    def mark_unreachable(self) -> None:
         """Doubt that what goes missing now is gone."""
-        self._endpoints.away()
+        self._endpoints.mark_unreachable()
 
 
 class EndpointFeed:
@@ -160,7 +160,7 @@
         self._clock = clock
         self._changed = changed
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         """Take in the whole list."""
         spoilt = functools.partial(self._spoilt, found.records)
         fresh = {
@@ -170,13 +170,13 @@
         self._directory.replaced(fresh, self._clock.now())
         self._changed()
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
         for change in changes:
             self._change(change)
         self._changed()
 
-    def away(self) -> None:
+    def mark_unreachable(self) -> None:
         """Doubt that what goes missing now is gone."""
         self._directory.list_away(self._clock.now())
 
--- a/src/linnetwood/platform/store.py
+++ b/src/linnetwood/platform/store.py
@@ -268,5 +268,5 @@
 def _change(row: dict[str, Any]) -> Change:
     key = _key(row)
     if row.get('deleted'):
-        return Change(key, None, gone_at=int(row['revision']))
+        return Change(key, None, deleted_revision=int(row['revision']))
     return Change(key, _record(row))
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -17,7 +17,7 @@
 from linnetwood.core.exposed import ExposedMetrics
 from linnetwood.core.metrics import Metric
 from linnetwood.core.options import Decisions
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.platform.feeds import (
     EndpointFeed,
@@ -84,7 +84,7 @@
         ends = EndNews(store, self.directory, clock, rng)
         self.dispatcher.ends = ends.watch
         self._ends = ends
-        self._tellers = Tellers(cfg.host, rng)
+        self._selector = RelaySelector(cfg.host, rng)
         self.reports = Reports(
             self.directory,
             chooser,
@@ -93,12 +93,12 @@
             cfg.wire_port,
             self._share_retries,
             cfg.zone,
-            self._tellers,
+            self._selector,
         )
         self.dispatcher.noticed = self.reports.noticed
         self.vigil = Vigil(
             clock,
-            lambda: self._following.heard_at,
+            lambda: self._follower.confirmed_at,
             cfg.config_bound_s * _TRUSTED_PART,
         )
         self.front = Front(
@@ -133,13 +133,13 @@
             cfg,
             store,
             feed,
-            self._tellers,
+            self._selector,
             rng,
             {FrameKind.PEERS_REQUEST: self.reports.greetings.peers.serve},
             self.reports.ask,
         )
-        self._following = self._news.following
-        self.reports.greetings.revision = lambda: self._following.revision
+        self._follower = self._news.follower
+        self.reports.greetings.revision = lambda: self._follower.revision
         self._callers = open_server(self.front, self.book.limits)
         self._servers: list[HTTPServer] = []
 
@@ -183,7 +183,7 @@
     @property
     def ready(self) -> bool:
         """Tell whether calls should come here."""
-        learned = self._following.learned.is_set()
+        learned = self._follower.synced.is_set()
         return learned and bool(self.book.revision) and not self._stopping
 
     async def _finish_calls(self) -> None:
--- a/src/linnetwood/programs/resident_news.py
+++ b/src/linnetwood/programs/resident_news.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable, Mapping
 from random import Random
 
-from linnetwood.fleet.belief import bounds_within
-from linnetwood.fleet.following import Following
-from linnetwood.fleet.introduction import Introduction
-from linnetwood.fleet.relaying import Relay
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.freshness import bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
+from linnetwood.fleet.startupsync import StartupSync
+from linnetwood.fleet.rangerelay import RangeRelay
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.platform import records
 from linnetwood.platform.feeds import StoreFeed, endpoints
 from linnetwood.platform.settings import Residence
@@ -23,7 +23,7 @@
         cfg: Residence,
         store: PlatformStore,
         feed: StoreFeed,
-        tellers: Tellers,
+        selector: RelaySelector,
         rng: Random,
         handlers: Mapping[int, FrameHandler],
         ask: Callable[[list[str]], None],
@@ -37,40 +37,40 @@
         self._zone = cfg.zone
         self._rng = rng
         self._store = store
-        self.following = Following(
+        self.follower = RangeFollower(
             store,
             records.WHOLE_STORE,
             feed,
             rng,
-            bounds_within(cfg.config_bound_s),
+            bounds_for(cfg.config_bound_s),
         )
-        store.heard = self.following.flowed
-        self._relay = Relay(
-            self.following,
-            tellers,
+        store.heard = self.follower.note_bytes
+        self._relay = RangeRelay(
+            self.follower,
+            selector,
             cfg.wire_port,
             handlers,
         )
 
-        self._introduction = Introduction(
-            self.following,
-            tellers,
-            self._look,
+        self._startup_sync = StartupSync(
+            self.follower,
+            selector,
+            self._endpoint_hosts,
             ask,
         )
 
     async def start(self) -> None:
         """Listen to neighbours and for them, and follow the store."""
         await self._relay.start(self._host)
-        self._introduction.start()
+        self._startup_sync.start()
 
     async def close(self) -> None:
         """Tell and hear no more; what was learned stays."""
-        await self._introduction.close()
+        await self._startup_sync.close()
         await self._relay.close()
-        await self.following.close()
+        await self.follower.close()
 
-    async def _look(self) -> list[str]:
+    async def _endpoint_hosts(self) -> list[str]:
         """Give the VMs of endpoints, those of the own zone first."""
         found = await self._store.read(records.ENDPOINT_PREFIX)
         listed = list(endpoints(found))
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -6,11 +6,11 @@
 from linnetwood.calls.candidates import NEAR_MOST
 from linnetwood.core.clock import Clock
 from linnetwood.fleet.hosts import pack
-from linnetwood.fleet.lastsaid import LastSaid
+from linnetwood.fleet.latestnotice import LatestNotice
 from linnetwood.fleet.listeners import Greeting, Listeners
 from linnetwood.fleet.news import Address, NewsPort
 from linnetwood.fleet.peerlist import PeerFollower
-from linnetwood.fleet.elsewhere import teller_place
+from linnetwood.fleet.remotezoneselector import relay_rank
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import (
     EngineNews,
@@ -69,7 +69,7 @@
         self._inflow = inflow
         self._news = NewsPort(self)
         self._listeners = Listeners(clock.now())
-        self._last_said = LastSaid()
+        self._latest_notice = LatestNotice()
         self._peers = PeerFollower(TcpDialler(), self._learned)
         self._rng = Random()
         self._number = 0
@@ -101,7 +101,7 @@
         if news.held is not None:
             self._follower.noticed(news.held)
         if news.said is not None:
-            self._last_said.heard(news.said, self._clock.now())
+            self._latest_notice.update(news.said, self._clock.now())
         if news.asks is not None:
             answer = self._neighbours(news.asks.zone)
             self._news.send(News(neighbours=answer), [source])
@@ -184,7 +184,7 @@
             way_ms=int(self._inflow.tell_way_s(now) * _MILLISECONDS),
             born=report.born,
         )
-        said = self._last_said.told(now, self.every_s)
+        said = self._latest_notice.for_report(now, self.every_s)
         if said is not None:
             engine.said = said
         return engine
@@ -247,7 +247,7 @@
 
     def _in_turn(self, zone: str) -> list[Address]:
         near = self._listeners.of_zone(zone)
-        return sorted(near, key=lambda one: teller_place(one[0]))
+        return sorted(near, key=lambda one: relay_rank(one[0]))
 
     def _tell_held(self, now: float) -> None:
         notices = self._follower.notices()
--- a/tests/test_asking_in_turn.py
+++ b/tests/test_asking_in_turn.py
@@ -9,23 +9,23 @@
 import unittest
 from random import Random
 
-from linnetwood.fleet.belief import Told, bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import RelayedUpdate, bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import Changes, Record, Snapshot
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.lab import virtual
-from tests.test_following import Kept
+from tests.test_following import RecordingSink
 
 APPLY_S = 3
 ENTRIES = [f'10.0.0.{number}' for number in range(13)]
-WORD = Told(5, 0, 0, 0, 0, whole=False, changes=())
+WORD = RelayedUpdate(5, 0, 0, 0, 0, whole=False, changes=())
 
 
 class NotingStore:
     """Note when it is asked to wait, and never answer that."""
 
     def __init__(self) -> None:
-        self.asked_at: list[float] = []
+        self.requested_at: list[float] = []
 
     async def read(self, prefix: str) -> Snapshot:
         """Give one key."""
@@ -33,32 +33,32 @@
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Wait for ever."""
-        self.asked_at.append(asyncio.get_running_loop().time())
+        self.requested_at.append(asyncio.get_running_loop().time())
         await asyncio.Event().wait()
         raise AssertionError
 
 
-def placed(me: str) -> Tellers:
+def placed(me: str) -> RelaySelector:
     """Give an entry that knows all others."""
-    tellers = Tellers(me, Random(1))
-    tellers.heard(ENTRIES, 0)
-    return tellers
+    selector = RelaySelector(me, Random(1))
+    selector.note_seen(ENTRIES, 0)
+    return selector
 
 
 async def asks_after(me: str) -> float:
     """Give how long after the last word an entry asks the store."""
     store = NotingStore()
-    bounds = bounds_within(APPLY_S)
-    following = Following(store, '', Kept(), Random(1), bounds)
-    following.behind = placed(me).behind
-    following.start()
-    await following.learned.wait()
+    bounds = bounds_for(APPLY_S)
+    follower = RangeFollower(store, '', RecordingSink(), Random(1), bounds)
+    follower.stagger_position = placed(me).stagger_position
+    follower.start()
+    await follower.synced.wait()
     told_at = asyncio.get_running_loop().time()
-    following.told(WORD)
-    store.asked_at.clear()
+    follower.apply_update(WORD)
+    store.requested_at.clear()
     await asyncio.sleep(APPLY_S)
-    await following.close()
-    return store.asked_at[0] - told_at
+    await follower.close()
+    return store.requested_at[0] - told_at
 
 
 class AskingInTurnTest(unittest.TestCase):
@@ -67,7 +67,7 @@
     def test_one_after_the_other(self) -> None:
         """The first asks at once, few within a tenth of a second of it."""
         times = sorted(virtual.run(asks_after(me)) for me in ENTRIES)
-        fresh_s = bounds_within(APPLY_S).fresh_s
+        fresh_s = bounds_for(APPLY_S).max_age_s
         self.assertAlmostEqual(times[0], fresh_s, 2)
         self.assertLessEqual(sum(one < times[0] + 0.1 for one in times), 3)
         # The last has two fifths of the bound left for its answer.
@@ -75,8 +75,8 @@
 
     def test_few_entries_ask_at_once(self) -> None:
         """The tellers, and the next one after them."""
-        self.assertEqual(Tellers('a', Random(1)).behind, 0)
-        counts = sorted(placed(me).behind for me in ENTRIES)
+        self.assertEqual(RelaySelector('a', Random(1)).stagger_position, 0)
+        counts = sorted(placed(me).stagger_position for me in ENTRIES)
         self.assertEqual(counts, [0, 0, 0, *range(1, 11)])
 
 
--- a/tests/test_belief_seeds.py
+++ b/tests/test_belief_seeds.py
@@ -45,7 +45,7 @@
 Trouble = Callable[['TroubledRegions', Random], Awaitable[None]]
 
 
-class PatientHandle(zones.Handle):
+class PatientHandle(zones.StoreLink):
     """A way to a store that may be away; it gives up as the client does."""
 
     async def read(self, prefix: str) -> Snapshot:
@@ -62,7 +62,7 @@
         waiting = super().wait(prefix, after, wait_s)
         return await self._patient(waiting, wait_s + SLACK_S)
 
-    async def _reach(self) -> None:
+    async def _connect(self) -> None:
         self._store.calls += 1
         store = self._store
         assert isinstance(store, TroubledStore)
@@ -77,7 +77,7 @@
     ) -> _Found:
         loop = asyncio.get_running_loop()
         task = asyncio.create_task(asking)
-        tell = self.heard
+        tell = self.on_bytes
         until = loop.time() + first_s
 
         def heard() -> None:
@@ -85,7 +85,7 @@
             until = loop.time() + SILENT_S
             tell()
 
-        self.heard = heard
+        self.on_bytes = heard
         try:
             while not task.done():
                 await asyncio.wait((task,), timeout=until - loop.time())
@@ -93,7 +93,7 @@
                     raise StoreError('store-unreachable', 'silent')
             return task.result()
         finally:
-            self.heard = tell
+            self.on_bytes = tell
             await _ended(task)
 
 
@@ -179,7 +179,7 @@
 
     def __init__(self, routes: int) -> None:
         with (
-            mock.patch.object(zones, 'Handle', PatientHandle),
+            mock.patch.object(zones, 'StoreLink', PatientHandle),
             mock.patch.object(regions, 'RegionStore', TroubledStore),
             mock.patch.object(regions, 'RegionNet', TroubledNet),
             mock.patch.object(regions, 'Links', FullLinks),
@@ -239,7 +239,7 @@
         now = asyncio.get_running_loop().time()
         for one in ended:
             self.troubled_at[one.name] = now
-            with mock.patch.object(zones, 'Handle', PatientHandle):
+            with mock.patch.object(zones, 'StoreLink', PatientHandle):
                 self.add(one.name).start()
 
     async def _watch_all(self) -> None:
@@ -256,7 +256,7 @@
         if not lacking:
             return
         lacked_at = min(lacking)
-        heard_at = one.following.heard_at
+        heard_at = one.follower.confirmed_at
         if heard_at > lacked_at:
             self._fault(now, one, held, 'believes', heard_at - lacked_at)
         clear_at = max(self.away_at, self.troubled_at.get(one.name, 0))
--- a/tests/test_bound_budget.py
+++ b/tests/test_bound_budget.py
@@ -20,14 +20,14 @@
 from unittest import mock
 
 from linnetwood.core.errors import StoreError
-from linnetwood.fleet.belief import Told, bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import RelayedUpdate, bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.lab import virtual
 from linnetwood.platform.store import PlatformStore
 from linnetwood.wire.curldriver import CurlDriver
 from tests import test_relaying as zones
-from tests.test_following import Kept
+from tests.test_following import RecordingSink
 
 APPLY_S = 2.0
 # Of a store that was away, entries count as in touch so long after its return.
@@ -43,15 +43,15 @@
     It was made up before the change, and began to arrive after it.
     """
     store = zones.FarStore()
-    handle = zones.Handle(store, 'me')
-    sink = zones.Newest()
-    following = Following(handle, '', sink, Random(1), bounds_within(APPLY_S))
-    handle.heard = following.flowed
+    handle = zones.StoreLink(store, 'me')
+    sink = zones.NewestSink()
+    follower = RangeFollower(handle, '', sink, Random(1), bounds_for(APPLY_S))
+    handle.on_bytes = follower.note_bytes
     # The last of many.
-    following.behind = 10
-    following.start()
+    follower.stagger_position = 10
+    follower.start()
     await asyncio.sleep(1)
-    following.told(Told(1, 0, 0, 0, 0, whole=False, changes=()))
+    follower.apply_update(RelayedUpdate(1, 0, 0, 0, 0, whole=False, changes=()))
     await asyncio.sleep(0)
     loop = asyncio.get_running_loop()
     written_at = loop.time()
@@ -60,12 +60,14 @@
         age_s = loop.time() - written_at
         flowing_s = age_s - begins_at_s if age_s >= begins_at_s else math.inf
         flow_age_s = 0 if age_s >= begins_at_s else math.inf
-        following.told(Told(1, age_s, flow_age_s, flowing_s, 0, False, ()))
+        follower.apply_update(
+            RelayedUpdate(1, age_s, flow_age_s, flowing_s, 0, False, ())
+        )
         await asyncio.sleep(0.05)
     while sink.payload != b'2':
         await asyncio.sleep(0.01)
-    await following.close()
-    return sink.at - written_at
+    await follower.close()
+    return sink.applied_at - written_at
 
 
 class BudgetTest(unittest.TestCase):
@@ -121,10 +123,10 @@
 async def _late_after_return(away_s: float, *, backed: bool) -> float:
     """Follow a store through an outage; give how long after it a write came."""
     store = HungStore()
-    bounds = bounds_within(APPLY_S)
-    following = Following(store, '', Kept(), Random(5), bounds)
-    following.backed = backed
-    following.start()
+    bounds = bounds_for(APPLY_S)
+    follower = RangeFollower(store, '', RecordingSink(), Random(5), bounds)
+    follower.has_relays = backed
+    follower.start()
     await asyncio.sleep(2)
     store.away = True
     await asyncio.sleep(away_s)
@@ -133,27 +135,27 @@
     back_at = loop.time()
     await asyncio.sleep(0.6)
     store.revision += 1
-    while following.revision < store.revision:
+    while follower.revision < store.revision:
         await asyncio.sleep(0.01)
-    await following.close()
+    await follower.close()
     return loop.time() - back_at
 
 
 async def _late_of_hung_wait(at_s: float) -> float:
     """Let a wait hang at some moment, and write; give how late that came."""
     store = HungStore()
-    bounds = bounds_within(APPLY_S)
-    following = Following(store, '', Kept(), Random(5), bounds)
-    following.start()
+    bounds = bounds_for(APPLY_S)
+    follower = RangeFollower(store, '', RecordingSink(), Random(5), bounds)
+    follower.start()
     await asyncio.sleep(2 + at_s)
     store.hangs = True
     await asyncio.sleep(0.02)
     loop = asyncio.get_running_loop()
     written_at = loop.time()
     store.revision += 1
-    while following.revision < store.revision:
+    while follower.revision < store.revision:
         await asyncio.sleep(0.01)
-    await following.close()
+    await follower.close()
     return loop.time() - written_at
 
 
@@ -163,30 +165,34 @@
     A write follows that word; then an answer may flow to the neighbour.
     """
     store = HungStore()
-    bounds = bounds_within(APPLY_S)
-    following = Following(store, '', Kept(), Random(5), bounds)
+    bounds = bounds_for(APPLY_S)
+    follower = RangeFollower(store, '', RecordingSink(), Random(5), bounds)
     # The last of many.
-    following.behind = 10
-    following.start()
+    follower.stagger_position = 10
+    follower.start()
     await asyncio.sleep(0.5)
     for _ in range(20):
-        following.told(Told(1, 0, math.inf, math.inf, 0, False, ()))
+        follower.apply_update(
+            RelayedUpdate(1, 0, math.inf, math.inf, 0, False, ())
+        )
         await asyncio.sleep(0.1)
-    following.told(Told(1, 0, math.inf, math.inf, 0, False, ()))
+    follower.apply_update(RelayedUpdate(1, 0, math.inf, math.inf, 0, False, ()))
     loop = asyncio.get_running_loop()
     written_at = loop.time()
     store.hangs = True
     store.revision += 1
     if flows:
-        age_s = bounds.fresh_s - 0.05
+        age_s = bounds.max_age_s - 0.05
         await asyncio.sleep(age_s)
-        following.told(Told(1, age_s, 0, 0, 0, False, ()))
+        follower.apply_update(RelayedUpdate(1, age_s, 0, 0, 0, False, ()))
         await asyncio.sleep(0.1)
-        following.told(Told(1, age_s + 0.1, 0, 0.1, 0, False, ()))
+        follower.apply_update(
+            RelayedUpdate(1, age_s + 0.1, 0, 0.1, 0, False, ())
+        )
     # Only a call beside the one that hangs brings it.
-    while following.revision < store.revision:
+    while follower.revision < store.revision:
         await asyncio.sleep(0.01)
-    await following.close()
+    await follower.close()
     return loop.time() - written_at
 
 
--- a/tests/test_crashwatch.py
+++ b/tests/test_crashwatch.py
@@ -247,13 +247,13 @@
         """By changes and by whole ranges."""
         key = end_key(END)
         self.assertLessEqual(len(key), 200)
-        self.feed.changed((Change(key, Record(b'', 3)),))
+        self.feed.apply_changes((Change(key, Record(b'', 3)),))
         self.assertEqual(self.crashes.ends(LIKENESS), 1)
-        self.feed.changed((Change(key, None),))
+        self.feed.apply_changes((Change(key, None),))
         self.assertEqual(self.crashes.ends(LIKENESS), 0)
-        self.feed.replaced(Snapshot({key: Record(b'', 3)}, 3))
+        self.feed.replace_all(Snapshot({key: Record(b'', 3)}, 3))
         self.assertEqual(self.crashes.ends(LIKENESS), 1)
-        self.feed.replaced(Snapshot({}, 4))
+        self.feed.replace_all(Snapshot({}, 4))
         self.assertEqual(self.crashes.ends(LIKENESS), 0)
 
     def test_what_another_took_away(self) -> None:
@@ -263,17 +263,17 @@
         self.addCleanup(loop.close)
         clock = VirtualClock(loop)
         feed = EndFeed(self.crashes, clock, gone=gone.append)
-        feed.changed((Change(end_key(END), Record(b'', 3)),))
+        feed.apply_changes((Change(end_key(END), Record(b'', 3)),))
         self.assertEqual(gone, [])
-        feed.changed((Change(end_key(END), None),))
+        feed.apply_changes((Change(end_key(END), None),))
         self.assertEqual(gone, [END])
 
     def test_keys_that_others_wrote(self) -> None:
         """What is no such key is passed over; its value never counts."""
         for key in ('ends/', 'ends/x/y', f'ends/{LIKENESS}', 'ends/' + '/' * 9):
-            self.feed.changed((Change(key, Record(b'\xff', 3)),))
-            self.feed.changed((Change(key, None),))
-        self.feed.changed((Change(end_key(END), Record(b'\xff{', 3)),))
+            self.feed.apply_changes((Change(key, Record(b'\xff', 3)),))
+            self.feed.apply_changes((Change(key, None),))
+        self.feed.apply_changes((Change(end_key(END), Record(b'\xff{', 3)),))
         self.assertEqual(self.crashes.ends(LIKENESS), 1)
 
 
--- a/tests/test_crowded_news.py
+++ b/tests/test_crowded_news.py
@@ -8,11 +8,11 @@
 import unittest
 from random import Random
 
-from linnetwood.fleet.belief import bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.lab import virtual
-from tests.test_following import Kept
+from tests.test_following import RecordingSink
 
 EVERY_S = 0.01
 SPAN_S = 10
@@ -50,16 +50,16 @@
 async def followed(apply_s: float) -> tuple[float, float]:
     """Follow for a while; give calls a second and the oldest belief."""
     store = BusyStore()
-    bounds = bounds_within(apply_s)
-    following = Following(store, '', Kept(), Random(1), bounds)
-    following.start()
-    await following.learned.wait()
+    bounds = bounds_for(apply_s)
+    follower = RangeFollower(store, '', RecordingSink(), Random(1), bounds)
+    follower.start()
+    await follower.synced.wait()
     oldest_s = float()
     for _ in range(round(SPAN_S / EVERY_S)):
         await asyncio.sleep(EVERY_S)
-        behind = store.revision - following.revision
+        behind = store.revision - follower.revision
         oldest_s = max(oldest_s, behind * EVERY_S)
-    await following.close()
+    await follower.close()
     return store.calls / SPAN_S, oldest_s
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -10,7 +10,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from linnetwood.core.errors import StoreError
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import (
     Change,
     Changes,
@@ -32,8 +32,8 @@
 
     def __init__(self, *steps: Step) -> None:
         self.steps = list(steps)
-        self.asked: list[tuple[str, int]] = []
-        self.asked_at: list[float] = []
+        self.requests: list[tuple[str, int]] = []
+        self.requested_at: list[float] = []
         self.done = asyncio.Event()
 
     async def read(self, prefix: str) -> Snapshot:
@@ -47,8 +47,8 @@
         return found
 
     async def next(self, call: str, after: int) -> Step:
-        self.asked.append((call, after))
-        self.asked_at.append(asyncio.get_running_loop().time())
+        self.requests.append((call, after))
+        self.requested_at.append(asyncio.get_running_loop().time())
         if not self.steps:
             self.done.set()
             await asyncio.Event().wait()
@@ -58,20 +58,20 @@
         return step
 
 
-class Kept:
+class RecordingSink:
     """A sink that keeps what it is told."""
 
     def __init__(self) -> None:
-        self.told: list[object] = []
+        self.calls: list[object] = []
 
-    def replaced(self, found: Snapshot) -> None:
-        self.told.append(dict(found.records))
+    def replace_all(self, found: Snapshot) -> None:
+        self.calls.append(dict(found.records))
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
-        self.told.extend(changes)
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
+        self.calls.extend(changes)
 
-    def away(self) -> None:
-        self.told.append('away')
+    def mark_unreachable(self) -> None:
+        self.calls.append('away')
 
 
 ONE = Record(b'1', 5)
@@ -81,15 +81,15 @@
 class FollowingTest(unittest.IsolatedAsyncioTestCase):
     """Read once, then wait; begin again where history is lost."""
 
-    async def follow(self, *steps: Step) -> tuple[ScriptedStore, Kept]:
+    async def follow(self, *steps: Step) -> tuple[ScriptedStore, RecordingSink]:
         """Play all steps."""
         store = ScriptedStore(*steps)
-        kept = Kept()
-        following = Following(store, '', kept, Random(1))
-        following.start()
+        kept = RecordingSink()
+        follower = RangeFollower(store, '', kept, Random(1))
+        follower.start()
         async with asyncio.timeout(60):
             await store.done.wait()
-        await following.close()
+        await follower.close()
         return store, kept
 
     async def test_reads_once_and_goes_on_from_there(self) -> None:
@@ -100,10 +100,10 @@
             Changes((TWO,), 6),
         )
         self.assertEqual(
-            store.asked,
+            store.requests,
             [('read', 0), ('wait', 5), ('wait', 5), ('wait', 6)],
         )
-        self.assertEqual(kept.told, [{'k': ONE}, TWO])
+        self.assertEqual(kept.calls, [{'k': ONE}, TWO])
 
     async def test_lost_history_is_read_again(self) -> None:
         """What can't be told is read whole; the store was not away for that."""
@@ -112,8 +112,10 @@
             HistoryLostError('store-history-lost'),
             Snapshot({}, 9),
         )
-        self.assertEqual([one for one, _ in store.asked][2:], ['read', 'wait'])
-        self.assertEqual(kept.told, [{'k': ONE}, {}])
+        self.assertEqual(
+            [one for one, _ in store.requests][2:], ['read', 'wait']
+        )
+        self.assertEqual(kept.calls, [{'k': ONE}, {}])
 
     async def test_store_that_is_away_comes_back(self) -> None:
         """What was learned stays, and waiting goes on from there."""
@@ -123,8 +125,8 @@
             StoreError('store-unreachable'),
             Changes((TWO,), 6),
         )
-        self.assertEqual(kept.told, ['away', {'k': ONE}, 'away', TWO])
-        self.assertEqual(store.asked[-2:], [('wait', 5), ('wait', 6)])
+        self.assertEqual(kept.calls, ['away', {'k': ONE}, 'away', TWO])
+        self.assertEqual(store.requests[-2:], [('wait', 5), ('wait', 6)])
 
     async def test_knows_when_the_store_was_heard(self) -> None:
         """Good answers count, empty ones too; failures and lost history not."""
@@ -142,18 +144,18 @@
             with self.subTest(name=name):
                 began = loop.time()
                 store = ScriptedStore(*steps)
-                following = Following(store, '', Kept(), Random(1))
-                following.start()
+                follower = RangeFollower(store, '', RecordingSink(), Random(1))
+                follower.start()
                 async with asyncio.timeout(60):
                     await store.done.wait()
-                await following.close()
+                await follower.close()
                 if not nth:
-                    self.assertEqual(following.heard_at, -math.inf)
+                    self.assertEqual(follower.confirmed_at, -math.inf)
                     continue
                 # Each answer confirms what was so when it was asked for.
-                times = [began, *store.asked_at]
-                self.assertLess(times[nth - 1], following.heard_at)
-                self.assertLessEqual(following.heard_at, times[nth])
+                times = [began, *store.requested_at]
+                self.assertLess(times[nth - 1], follower.confirmed_at)
+                self.assertLessEqual(follower.confirmed_at, times[nth])
 
 
 def answer(status: int, said: Any = None) -> bytes:
@@ -268,7 +270,7 @@
             ),
         ]
         found = await self.store.wait('', 2, 1.5)
-        gone = Change('b', None, gone_at=4)
+        gone = Change('b', None, deleted_revision=4)
         self.assertEqual(
             found,
             Changes((Change('a', Record(b'x', 3)), gone), 4),
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -32,7 +32,7 @@
             started = await restart(regions, regions.of('far')[KEPT:])
             await asyncio.sleep(1)
             self.assertEqual(
-                [one.following.revision for one in started], [1] * 4
+                [one.follower.revision for one in started], [1] * 4
             )
             self.assertLess(regions.links.sent[ZONES[0], 'far'], WHOLE)
 
@@ -45,7 +45,7 @@
             regions.links.sent.clear()
             started = await restart(regions, list(regions.entries))
             await asyncio.sleep(4)
-            self.assertEqual({one.following.revision for one in started}, {1})
+            self.assertEqual({one.follower.revision for one in started}, {1})
             self.assertLess(regions.links.sent[ZONES[0], 'far'], 4 * WHOLE)
 
         played(act)
--- a/tests/test_junk.py
+++ b/tests/test_junk.py
@@ -22,7 +22,7 @@
     StoreError,
     WeightsError,
 )
-from linnetwood.fleet.rangeparts import unpack
+from linnetwood.fleet.rangecodec import unpack
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.platform.endboard import EndFeed
@@ -88,7 +88,7 @@
             EndpointFeed(self.directory, clock, self._changed),
             EndFeed(Crashes(), clock),
         )
-        self.feed.replaced(
+        self.feed.replace_all(
             Snapshot(
                 {
                     'op/config': told(CONFIG),
@@ -106,7 +106,7 @@
 
     def change(self, key: str, payload: bytes) -> None:
         """Write one key."""
-        self.feed.changed((Change(key, Record(payload, 10)),))
+        self.feed.apply_changes((Change(key, Record(payload, 10)),))
 
     def _adopt(self, book: RouteBook) -> None:
         self.book = book
@@ -169,7 +169,7 @@
                     'servers/a': Record(payload, 11),
                     'servers/b': told(ENTRY),
                 }
-                fed.feed.replaced(Snapshot(found, 11))
+                fed.feed.replace_all(Snapshot(found, 11))
                 self.assertEqual(fed.names(), {'b'})
 
     @given(
--- a/tests/test_late_requests.py
+++ b/tests/test_late_requests.py
@@ -11,8 +11,8 @@
 from random import Random
 
 from linnetwood.fleet.mirror import Mirror
-from linnetwood.fleet.rangeteller import BEAT_S
-from linnetwood.fleet.toldreading import Hearing
+from linnetwood.fleet.rangerelayserver import HEARTBEAT_S
+from linnetwood.fleet.relayreader import RelayReader
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet
 from linnetwood.wire.frames import FrameStream
@@ -31,25 +31,25 @@
     async def accept(stream: FrameStream) -> None:
         frame = await stream.read()
         await asyncio.sleep(READ_LATE_S)
-        await entry.teller.serve(stream, frame)
+        await entry.relay_server.serve(stream, frame)
 
-    entry.following.start()
-    await entry.following.learned.wait()
+    entry.follower.start()
+    await entry.follower.synced.wait()
     address = (entry.name, zones.PORT)
     net.accepting[address] = accept
     stream = await MemoryDialler(net).dial(address)
-    hearing = Hearing(stream, Mirror(), entry.name)
-    await hearing.ask()
+    hearing = RelayReader(stream, Mirror(), entry.name)
+    await hearing.request()
     loop = asyncio.get_running_loop()
     began = loop.time()
     worst_s = float()
     while loop.time() < began + LASTS_S:
-        told = await hearing.read()
+        update = await hearing.read()
         if loop.time() > began + SETTLED_S:
-            truth_s = loop.time() - entry.following.heard_at
-            worst_s = max(worst_s, told.age_s - truth_s)
+            truth_s = loop.time() - entry.follower.confirmed_at
+            worst_s = max(worst_s, update.age_s - truth_s)
     stream.close()
-    await entry.following.close()
+    await entry.follower.close()
     await net.close()
     return worst_s
 
@@ -59,7 +59,7 @@
 
     def test_words_in_time_are_not_old_for_long(self) -> None:
         """No word that comes at once counts a beat too old."""
-        self.assertLess(virtual.run(_too_old_s()), BEAT_S)
+        self.assertLess(virtual.run(_too_old_s()), HEARTBEAT_S)
 
 
 if __name__ == '__main__':
--- a/tests/test_narrow_regions.py
+++ b/tests/test_narrow_regions.py
@@ -22,9 +22,9 @@
 from collections.abc import Awaitable, Callable, Iterable
 from random import Random
 
-from linnetwood.fleet.farlistening import FarListener
-from linnetwood.fleet.introduction import Introduction
-from linnetwood.fleet.rangeteller import RangeTeller
+from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
+from linnetwood.fleet.startupsync import StartupSync
+from linnetwood.fleet.rangerelayserver import RangeRelayServer
 from linnetwood.fleet.ranges import Record
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet, MemoryStream
@@ -33,7 +33,7 @@
 from tests.test_relaying import (
     APPLY_S,
     KEY,
-    PIECE,
+    PIECE_BYTES,
     PORT,
     ROUND_TRIP_S,
     Entry,
@@ -112,7 +112,7 @@
         loop = asyncio.get_running_loop()
         left = size * 4 // 3
         while left > 0:
-            piece = min(left, PIECE)
+            piece = min(left, PIECE_BYTES)
             left -= piece
             self.sent += piece
             until = self._links.through_at(ZONES[0], self._zone, piece)
@@ -171,41 +171,41 @@
 
     def __init__(self, name: str, store: FarStore, net: RegionNet) -> None:
         super().__init__(name, store, net)
-        self.far = FarListener(
-            self.following,
-            self.tellers,
+        self.remote_subscriber = RemoteZoneSubscriber(
+            self.follower,
+            self.selector,
             RegionDialler(net, zone_of(name)),
             PORT,
         )
-        self.teller = RangeTeller(self.following, self.tellers)
-        self.named: Callable[[Entry], None] = nobody
-        self.introduction = Introduction(
-            self.following,
-            self.tellers,
-            self._look,
-            self._ask,
+        self.relay_server = RangeRelayServer(self.follower, self.selector)
+        self.on_request: Callable[[Entry], None] = nobody
+        self.startup_sync = StartupSync(
+            self.follower,
+            self.selector,
+            self._find_hosts,
+            self._request_entries,
         )
 
     def start(self) -> None:
         self._net.accepting[(self.name, PORT)] = self.accept
-        self.listener.start()
-        self.far.start()
-        self.introduction.start()
+        self.subscriber.start()
+        self.remote_subscriber.start()
+        self.startup_sync.start()
 
     async def close(self) -> None:
-        await self.introduction.close()
-        await self.far.close()
+        await self.startup_sync.close()
+        await self.remote_subscriber.close()
         await super().close()
 
-    async def _look(self) -> list[str]:
+    async def _find_hosts(self) -> list[str]:
         """Read a short list from the store."""
         await asyncio.sleep(ROUND_TRIP_S)
         return ['an endpoint process']
 
-    def _ask(self, hosts: list[str]) -> None:
+    def _request_entries(self, hosts: list[str]) -> None:
         """Be told of others, as by an endpoint process of the zone."""
         loop = asyncio.get_running_loop()
-        loop.call_later(ROUND_TRIP_S, self.named, self)
+        loop.call_later(ROUND_TRIP_S, self.on_request, self)
 
 
 def nobody(one: Entry) -> None:
@@ -231,8 +231,8 @@
     async def start(self) -> None:
         """Let everybody learn the range and hear of the others."""
         self._tasks = [
-            asyncio.create_task(self._greet()),
-            asyncio.create_task(self._look()),
+            asyncio.create_task(self._announce()),
+            asyncio.create_task(self._observe()),
         ]
         for one in self.entries:
             one.start()
@@ -256,7 +256,7 @@
     def add(self, name: str) -> RegionEntry:
         """Put an entry there; the caller starts it."""
         one = RegionEntry(name, self.stores[zone_of(name)], self.net)
-        one.named = self._tell
+        one.on_request = self._name_entries
         self.entries.append(one)
         return one
 
@@ -276,23 +276,23 @@
         held = {one.name: version_of(one.sink.payload) for one in self.entries}
         return {name: one for name, one in held.items() if one < newest}
 
-    async def _greet(self) -> None:
+    async def _announce(self) -> None:
         while True:
             for one in self.entries:
-                self._tell(one)
+                self._name_entries(one)
             await asyncio.sleep(1)
 
-    def _tell(self, one: Entry) -> None:
+    def _name_entries(self, one: Entry) -> None:
         now = asyncio.get_running_loop().time()
         for zone in ZONES:
             names = [other.name for other in self.of(zone)]
             if one.name in names:
-                one.tellers.heard(names, now)
+                one.selector.note_seen(names, now)
             else:
                 # As an endpoint process that heard two of them.
-                one.tellers.elsewhere.heard(zone, names[:2], now)
+                one.selector.remote_zones.note_seen(zone, names[:2], now)
 
-    async def _look(self) -> None:
+    async def _observe(self) -> None:
         """Note for how long each version was lacking somewhere, at most."""
         while True:
             now = asyncio.get_running_loop().time()
@@ -372,7 +372,9 @@
 
         async def act(regions: Regions) -> None:
             now = asyncio.get_running_loop().time()
-            leading = [one for one in regions.of('far') if one.tellers.leading]
+            leading = [
+                one for one in regions.of('far') if one.selector.is_relay
+            ]
             for one in leading:
                 regions.net.frozen_until[(one.name, PORT)] = now + 2 * APPLY_S
                 regions.stores['far'].cut.add(one.name)
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -21,7 +21,7 @@
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Ending, Outcome
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.wanted import (
     MARGIN_S,
     START_MARGIN_S,
@@ -199,7 +199,7 @@
             0,
             lambda: None,
             'z1',
-            Tellers(HOST, Random(1)),
+            RelaySelector(HOST, Random(1)),
         )
         self.dispatcher = self.dispatch()
 
--- a/tests/test_passed_notices.py
+++ b/tests/test_passed_notices.py
@@ -5,7 +5,7 @@
 
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.reports import Reports
-from linnetwood.fleet.lastsaid import LastSaid
+from linnetwood.fleet.latestnotice import LatestNotice
 from linnetwood.fleet.news import Reader
 from linnetwood.gen.wire.ttypes import EngineSaid
 from linnetwood.weights.engine import EngineReport
@@ -18,10 +18,10 @@
     def test_every_pace_meets_a_round(self) -> None:
         """Guard against entries whose reports always come between rounds."""
         for pace_s in (0.1, 0.2, 0.25, 0.4, 0.5, 1, 2):
-            last = LastSaid()
-            last.heard(EngineSaid(1, 2000), 0.07)
+            last = LatestNotice()
+            last.update(EngineSaid(1, 2000), 0.07)
             times = [count * pace_s for count in range(1, int(40 / pace_s))]
-            known = [at for at in times if at > 1 and last.told(at, 0.1)]
+            known = [at for at in times if at > 1 and last.for_report(at, 0.1)]
             with self.subTest(pace_s=pace_s):
                 self.assertTrue(known)
 
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -5,9 +5,9 @@
 from hypothesis import given, strategies
 
 from linnetwood.core.errors import CodecError
-from linnetwood.fleet.mirror import LARGE_OCTETS, Mirror
-from linnetwood.fleet.patches import Patch, difference, patched
-from linnetwood.fleet.rangeparts import pack, unpack
+from linnetwood.fleet.mirror import LARGE_BYTES, Mirror
+from linnetwood.fleet.patches import Patch, make_patch, apply_patch
+from linnetwood.fleet.rangecodec import pack, unpack
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from tests.test_narrow_regions import configuration
 
@@ -19,10 +19,10 @@
 def mirror_of(*payloads: bytes) -> Mirror:
     """Give a mirror that saw one key written again and again."""
     mirror = Mirror()
-    mirror.replaced(Snapshot({'k': Record(payloads[0], 1)}, 1), 0)
+    mirror.replace_all(Snapshot({'k': Record(payloads[0], 1)}, 1), 0)
     for revision, payload in enumerate(payloads[1:], 2):
         changes = (Change('k', Record(payload, revision)),)
-        mirror.changed(changes, revision, 0)
+        mirror.apply_changes(changes, revision, 0)
     return mirror
 
 
@@ -32,11 +32,11 @@
     @given(payloads, payloads)
     def test_it_makes_the_newer_one(self, old: bytes, new: bytes) -> None:
         """Whatever the two are."""
-        self.assertEqual(patched(old, difference(old, new), MOST), new)
+        self.assertEqual(apply_patch(old, make_patch(old, new), MOST), new)
 
     def test_a_small_change_is_small(self) -> None:
         """One route of 1,900 takes less than a row of them and a few runs."""
-        patch = difference(configuration(2), configuration(3))
+        patch = make_patch(configuration(2), configuration(3))
         self.assertLess(len(patch.added) + 4 * len(patch.runs), 1500)
 
     @given(
@@ -54,7 +54,7 @@
     ) -> None:
         """A coded error, or by chance a payload with the right check."""
         try:
-            made = patched(old, Patch(runs, added, check), 30)
+            made = apply_patch(old, Patch(runs, added, check), 30)
         except CodecError:
             return
         self.assertLessEqual(len(made), 30 + len(added))
@@ -71,7 +71,7 @@
     def test_against_what_is_held(self) -> None:
         """A difference goes out, and the payload comes in."""
         packed = pack([self.change], {'k': 1}, mirror_of(self.old, self.new))
-        self.assertLess(len(packed), LARGE_OCTETS / 8)
+        self.assertLess(len(packed), LARGE_BYTES / 8)
         found = list(unpack(packed, 0, mirror_of(self.old)))
         self.assertEqual([one.record for one in found], [self.change.record])
 
@@ -92,10 +92,10 @@
         """Four before the newest, also where the range was read anew."""
         versions = [configuration(one, 100) for one in range(6)]
         mirror = mirror_of(*versions[:5])
-        mirror.replaced(Snapshot({'k': Record(versions[5], 6)}, 6), 0)
-        kept = [mirror.payload('k', revision) for revision in range(1, 7)]
+        mirror.replace_all(Snapshot({'k': Record(versions[5], 6)}, 6), 0)
+        kept = [mirror.payload_at('k', revision) for revision in range(1, 7)]
         self.assertEqual(kept, [None, *versions[1:]])
-        self.assertEqual(mirror.held(), {'k': 6})
+        self.assertEqual(mirror.held_revisions(), {'k': 6})
 
 
 if __name__ == '__main__':
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -70,7 +70,7 @@
             for zone in REGIONS
             for number in range(EACH)
         }
-        self.feed.replaced(Snapshot(self.found, 9))
+        self.feed.replace_all(Snapshot(self.found, 9))
         self.chooser.candidates.hear(
             one.host for one in self.directory.all() if one.host.endswith('1')
         )
@@ -94,7 +94,7 @@
     def evacuated(self, *zones: str) -> None:
         """Let the operators evacuate zones, all others back."""
         written = {f'op/evacuate/{zone}': told({}) for zone in zones}
-        self.feed.replaced(Snapshot({**self.found, **written}, 12))
+        self.feed.replace_all(Snapshot({**self.found, **written}, 12))
 
     def test_bound_calls(self) -> None:
         """They go to no other region, wherever they come in."""
@@ -148,9 +148,9 @@
         self.assertEqual(self.zones(south), {'nowhere'})
         # What stands under the key does not matter.
         change = Change('op/evacuate/z1', Record(b'{[', 20))
-        self.feed.changed((change,))
+        self.feed.apply_changes((change,))
         self.assertEqual(self.zones(need), {'z2'})
-        self.feed.changed((Change('op/evacuate/z1', None),))
+        self.feed.apply_changes((Change('op/evacuate/z1', None),))
         self.assertIn('z1', self.zones(need))
         self.evacuated()
         self.assertNotIn('nowhere', self.zones(south))
@@ -171,7 +171,7 @@
             Change(f'servers/z1-{number}', told(self._cold(number)))
             for number in range(EACH)
         ]
-        self.feed.changed(tuple(changes))
+        self.feed.apply_changes(tuple(changes))
         self.assertNotIn('z1', self.zones(Need(COLD, 'z1')))
         self.assertIn('z1', self.zones(Need(DESK, 'z1')))
         self.clock.at += COLD_MS / 1000 + 0.1
--- a/tests/test_proven_ages.py
+++ b/tests/test_proven_ages.py
@@ -19,16 +19,16 @@
 from random import Random
 
 from linnetwood.core.waits import happened
-from linnetwood.fleet.belief import bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
-from linnetwood.fleet.relaying import RangeListener
+from linnetwood.fleet.rangerelay import RangeSubscriber
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet, MemoryStream
 from linnetwood.wire.connections import Address
 from linnetwood.wire.frames import Frame, FrameStream
 from tests import test_relaying as zones
-from tests.test_following import Kept
+from tests.test_following import RecordingSink
 
 APPLY_S = 2.0
 LATE_S = 1.5
@@ -70,27 +70,29 @@
         changes = (change,) if revision > after else ()
         return Changes(changes, revision)
 
-    def lie_s(self, following: Following) -> float:
+    def understated_s(self, follower: RangeFollower) -> float:
         """Give by how much an entry's belief is younger than the truth."""
-        lacking = self.writes[max(0, following.revision - 1) :]
-        return following.heard_at - min(lacking, default=following.heard_at)
+        lacking = self.writes[max(0, follower.revision - 1) :]
+        return follower.confirmed_at - min(
+            lacking, default=follower.confirmed_at
+        )
 
 
 async def _lies_of(late_s: float, seed: int) -> float:
     """Follow a store whose answers are late; give the worst lie."""
     store = LateStore(late_s)
     rng = Random(seed)
-    bounds = bounds_within(APPLY_S)
-    following = Following(store, '', Kept(), Random(1), bounds)
-    following.start()
-    await following.learned.wait()
+    bounds = bounds_for(APPLY_S)
+    follower = RangeFollower(store, '', RecordingSink(), Random(1), bounds)
+    follower.start()
+    await follower.synced.wait()
     worst_s = float()
     for _ in range(1000):
         if rng.randrange(50) == 0:
             store.write()
         await asyncio.sleep(0.01)
-        worst_s = max(worst_s, store.lie_s(following))
-    await following.close()
+        worst_s = max(worst_s, store.understated_s(follower))
+    await follower.close()
     return worst_s
 
 
@@ -146,14 +148,14 @@
     names = ['10.0.0.1', '10.0.0.2']
     entries = [zones.Entry(name, store, net) for name in names]
     for one in entries:
-        one.tellers.heard(names, loop.time())
-    first = next(one for one in entries if one.tellers.leading)
-    if len(first.tellers.first) > 0:
-        first = next(one for one in entries if not one.tellers.first)
+        one.selector.note_seen(names, loop.time())
+    first = next(one for one in entries if one.selector.is_relay)
+    if len(first.selector.relays) > 0:
+        first = next(one for one in entries if not one.selector.relays)
     second = next(one for one in entries if one is not first)
     dialler = StillDialler(net)
-    second.listener = RangeListener(
-        second.following, second.tellers, dialler, zones.PORT
+    second.subscriber = RangeSubscriber(
+        second.follower, second.selector, dialler, zones.PORT
     )
     for one in entries:
         one.start()
@@ -169,7 +171,7 @@
     await first.close()
     store.write(b'2')
     await asyncio.sleep(stands_until - loop.time() + 0.05)
-    believed_s = loop.time() - second.following.heard_at
+    believed_s = loop.time() - second.follower.confirmed_at
     truth_s = loop.time() - ended_at
     await second.close()
     await net.close()
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -10,13 +10,13 @@
 
 from linnetwood.core.errors import StoreError
 from linnetwood.core.waits import happened
-from linnetwood.fleet.belief import bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.mirror import Mirror
 from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
-from linnetwood.fleet.rangeteller import RangeTeller
-from linnetwood.fleet.relaying import RangeListener
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.rangerelay import RangeSubscriber
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet
 from linnetwood.wire.frames import FrameStream
@@ -24,10 +24,10 @@
 PORT = 7700
 ENTRIES = 13
 APPLY_S = 3.0
-LARGE = 400000
+LARGE_BYTES = 400000
 LINK_BYTES_PER_S = 1500000
 ROUND_TRIP_S = 0.006
-PIECE = 16384
+PIECE_BYTES = 16384
 KEY = 'op/config'
 
 
@@ -56,7 +56,7 @@
         """Wait for the time that bytes take on the link, a piece in turn."""
         loop = asyncio.get_running_loop()
         while size > 0:
-            piece = min(size, PIECE)
+            piece = min(size, PIECE_BYTES)
             size -= piece
             self.sent += piece
             begin = max(self._free_at, loop.time())
@@ -66,32 +66,32 @@
         await asyncio.sleep(ROUND_TRIP_S)
 
 
-def nothing() -> None:
+def ignore_bytes() -> None:
     """Tell nobody of a piece."""
 
 
-class Handle:
+class StoreLink:
     """One entry's way to the store."""
 
     def __init__(self, store: FarStore, name: str) -> None:
         self._store = store
         self._name = name
-        self.heard: Callable[[], None] = nothing
+        self.on_bytes: Callable[[], None] = ignore_bytes
 
     async def read(self, prefix: str) -> Snapshot:
         """Read everything."""
-        await self._reach()
+        await self._connect()
         found = Snapshot(dict(self._store.records), self._store.revision)
-        await self._store.carry(_size(found.records.values()), self.heard)
+        await self._store.carry(_size(found.records.values()), self.on_bytes)
         return found
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Wait for what was written since."""
-        await self._reach()
+        await self._connect()
         store = self._store
         if store.revision <= after:
             await happened(store.changed, wait_s)
-        await self._reach()
+        await self._connect()
         # Each write is told, also those that a later one replaced.
         changes = tuple(
             one
@@ -99,10 +99,10 @@
             if one.record is not None and one.record.revision > after
         )
         revision = store.revision
-        await store.carry(_size(one.record for one in changes), self.heard)
+        await store.carry(_size(one.record for one in changes), self.on_bytes)
         return Changes(changes, revision)
 
-    async def _reach(self) -> None:
+    async def _connect(self) -> None:
         self._store.calls += 1
         if self._name in self._store.cut:
             await asyncio.sleep(ROUND_TRIP_S)
@@ -113,30 +113,30 @@
     return 100 + sum(len(one.payload) for one in records if one is not None)
 
 
-class Newest:
+class NewestSink:
     """A sink that notes when each payload came."""
 
     def __init__(self) -> None:
         self.payload = b''
-        self.at = float()
+        self.applied_at = float()
         self.ages: list[float] = []
         self.outages = 0
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         self._take(found.records[KEY])
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         for one in changes:
             if one.record is not None:
                 self.ages.append(one.age_s)
                 self._take(one.record)
 
-    def away(self) -> None:
+    def mark_unreachable(self) -> None:
         self.outages += 1
 
     def _take(self, record: Record) -> None:
         self.payload = record.payload
-        self.at = asyncio.get_running_loop().time()
+        self.applied_at = asyncio.get_running_loop().time()
 
 
 class Entry:
@@ -144,38 +144,38 @@
 
     def __init__(self, name: str, store: FarStore, net: MemoryNet) -> None:
         self.name = name
-        self.sink = Newest()
-        self.tellers = Tellers(name, Random(1))
-        handle = Handle(store, name)
-        self.following = Following(
+        self.sink = NewestSink()
+        self.selector = RelaySelector(name, Random(1))
+        handle = StoreLink(store, name)
+        self.follower = RangeFollower(
             handle,
             '',
             self.sink,
             Random(2),
-            bounds_within(APPLY_S),
+            bounds_for(APPLY_S),
         )
-        handle.heard = self.following.flowed
-        self.listener = RangeListener(
-            self.following,
-            self.tellers,
+        handle.on_bytes = self.follower.note_bytes
+        self.subscriber = RangeSubscriber(
+            self.follower,
+            self.selector,
             MemoryDialler(net),
             PORT,
         )
-        self.teller = RangeTeller(self.following)
+        self.relay_server = RangeRelayServer(self.follower)
         self._net = net
 
     async def accept(self, stream: FrameStream) -> None:
         """Serve one listener."""
-        await self.teller.serve(stream, await stream.read())
+        await self.relay_server.serve(stream, await stream.read())
 
     def start(self) -> None:
         self._net.accepting[(self.name, PORT)] = self.accept
-        self.following.start()
-        self.listener.start()
+        self.follower.start()
+        self.subscriber.start()
 
     async def close(self) -> None:
-        await self.listener.close()
-        await self.following.close()
+        await self.subscriber.close()
+        await self.follower.close()
 
 
 class Zone:
@@ -189,11 +189,11 @@
             for number in range(ENTRIES)
         ]
         self._gone: set[str] = set()
-        self._greeting: asyncio.Task[None] | None = None
+        self._announcing: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Let everybody learn the range and hear the first of them."""
-        self._greeting = asyncio.create_task(self._greet())
+        self._announcing = asyncio.create_task(self._announce())
         for one in self.entries:
             one.start()
         await asyncio.sleep(5)
@@ -201,24 +201,26 @@
         self.store.calls = 0
 
     async def close(self) -> None:
-        if self._greeting is not None:
-            self._greeting.cancel()
+        if self._announcing is not None:
+            self._announcing.cancel()
         for one in self.entries:
             await one.close()
         await self.net.close()
 
-    def first(self) -> Entry:
+    def first_relay(self) -> Entry:
         """Give the entry that hears nobody."""
         now = asyncio.get_running_loop().time()
-        alone = [one for one in self.entries if one.tellers.choose(now) is None]
+        alone = [
+            one for one in self.entries if one.selector.choose(now) is None
+        ]
         return alone[0]
 
-    def second(self) -> Entry:
+    def subscriber_of_first(self) -> Entry:
         """Give an entry that hears the first."""
         now = asyncio.get_running_loop().time()
-        name = self.first().name
+        name = self.first_relay().name
         return next(
-            one for one in self.entries if one.tellers.choose(now) == name
+            one for one in self.entries if one.selector.choose(now) == name
         )
 
     async def kill(self, entry: Entry) -> None:
@@ -228,12 +230,12 @@
         self.net.drop((entry.name, PORT))
         await entry.close()
 
-    async def _greet(self) -> None:
+    async def _announce(self) -> None:
         while True:
             now = asyncio.get_running_loop().time()
             names = [one.name for one in self.entries]
             for one in self.entries:
-                one.tellers.heard(names, now)
+                one.selector.note_seen(names, now)
             await asyncio.sleep(1)
 
 
@@ -264,12 +266,12 @@
 
         async def act(zone: Zone) -> None:
             for mark in (b'2', b'3', b'4'):
-                zone.store.write(mark * LARGE)
+                zone.store.write(mark * LARGE_BYTES)
                 await asyncio.sleep(0.3)
             await asyncio.sleep(APPLY_S - 0.3)
-            self.assertEqual(payloads(zone), {b'4' * LARGE})
+            self.assertEqual(payloads(zone), {b'4' * LARGE_BYTES})
             # Three versions, and the second teller may have asked too.
-            self.assertLess(zone.store.sent, 4 * LARGE)
+            self.assertLess(zone.store.sent, 4 * LARGE_BYTES)
 
         played(act)
 
@@ -278,7 +280,7 @@
 
         async def act(zone: Zone) -> None:
             await asyncio.sleep(10)
-            each_s = bounds_within(APPLY_S).wait_s
+            each_s = bounds_for(APPLY_S).wait_s
             # Each wait counts twice, when it begins and when it ends.
             self.assertLess(zone.store.calls, 2 * 10 / each_s + 4)
 
@@ -297,12 +299,12 @@
             zone.store.cut.update(one.name for one in zone.entries)
             for mark in (b'2', b'3', b'4', b'5', b'6'):
                 await asyncio.sleep(1.8)
-                zone.store.write(mark * LARGE)
+                zone.store.write(mark * LARGE_BYTES)
             zone.store.cut.clear()
             back_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2 * APPLY_S)
-            self.assertEqual(payloads(zone), {b'6' * LARGE})
-            late_s = max(one.sink.at for one in zone.entries) - back_at
+            self.assertEqual(payloads(zone), {b'6' * LARGE_BYTES})
+            late_s = max(one.sink.applied_at for one in zone.entries) - back_at
             self.assertLess(late_s, APPLY_S)
 
         played(act)
@@ -311,7 +313,9 @@
         """Whoever hears of a change late knows since when it stands."""
 
         async def act(zone: Zone) -> None:
-            late = next(one for one in zone.entries if one is not zone.first())
+            late = next(
+                one for one in zone.entries if one is not zone.first_relay()
+            )
             await late.close()
             zone.store.cut.add(late.name)
             zone.store.write(b'2')
@@ -327,8 +331,8 @@
         """Whoever hears that the store was away doubts what goes missing."""
 
         async def act(zone: Zone) -> None:
-            first = zone.first()
-            second = zone.second()
+            first = zone.first_relay()
+            second = zone.subscriber_of_first()
             zone.store.cut.add(first.name)
             while not first.sink.outages:
                 await asyncio.sleep(0.01)
@@ -339,7 +343,7 @@
         played(act)
 
     async def _fail(self, name: str, zone: Zone) -> None:
-        first = zone.first()
+        first = zone.first_relay()
         loop = asyncio.get_running_loop()
         if name == 'dead':
             await zone.kill(first)
@@ -354,7 +358,9 @@
         for one in zone.entries:
             if one is not first:
                 self.assertEqual(one.sink.payload, b'2')
-                self.assertLess(one.sink.at - written_at, APPLY_S * 0.75)
+                self.assertLess(
+                    one.sink.applied_at - written_at, APPLY_S * 0.75
+                )
 
 
 KEYS = strategies.sampled_from('abc')
@@ -378,18 +384,18 @@
         started = min(started, len(writes))
         known = min(known, len(writes))
         mirror = Mirror()
-        mirror.replaced(Snapshot(_play(writes[:started]), started), 0)
+        mirror.replace_all(Snapshot(_play(writes[:started]), started), 0)
         for revision, (key, deleted) in enumerate(writes, 1):
             record = None if deleted else Record(b'', revision)
             if revision > started:
-                mirror.changed((Change(key, record),), revision, 0)
-        lack = mirror.lack(known, 0)
-        held = {} if lack.whole else _play(writes[:known])
-        for change in lack.changes:
+                mirror.apply_changes((Change(key, record),), revision, 0)
+        delta = mirror.delta_since(known, 0)
+        held = {} if delta.whole else _play(writes[:known])
+        for change in delta.changes:
             held.pop(change.key, None)
             if change.record is not None:
                 held[change.key] = change.record
-        self.assertEqual(lack.revision, len(writes))
+        self.assertEqual(delta.revision, len(writes))
         self.assertEqual(held, _play(writes))
 
 
@@ -411,9 +417,9 @@
         rng = Random(5)
         hears = {}
         for name in names:
-            tellers = Tellers(name, Random(1))
-            tellers.heard(rng.sample(names, 20), 0)
-            hears[name] = tellers.choose(0)
+            selector = RelaySelector(name, Random(1))
+            selector.note_seen(rng.sample(names, 20), 0)
+            hears[name] = selector.choose(0)
         for name in names:
             seen = [name]
             while hears[seen[-1]] is not None:
@@ -423,22 +429,22 @@
     def test_one_that_fails_rests(self) -> None:
         """The second takes over, and then the store itself."""
         names = [f'10.0.0.{number}' for number in range(5)]
-        last = Tellers(names[0], Random(1))
+        last = RelaySelector(names[0], Random(1))
         for name in names:
-            tellers = Tellers(name, Random(1))
-            tellers.heard(names, 0)
-            first = tellers.choose(0)
+            selector = RelaySelector(name, Random(1))
+            selector.note_seen(names, 0)
+            first = selector.choose(0)
             if first is not None:
-                last = tellers
-                tellers.failed(first, 0)
-                second = tellers.choose(0)
+                last = selector
+                selector.note_failure(first, 0)
+                second = selector.choose(0)
                 if second is not None:
                     self.assertNotEqual(first, second)
-                    tellers.failed(second, 0)
-                    self.assertIsNone(tellers.choose(0))
-                tellers.heard(names, 5)
-                self.assertEqual(tellers.choose(5), first)
-        last.heard((), 9)
+                    selector.note_failure(second, 0)
+                    self.assertIsNone(selector.choose(0))
+                selector.note_seen(names, 5)
+                self.assertEqual(selector.choose(5), first)
+        last.note_seen((), 9)
         self.assertIsNone(last.choose(9))
 
 
--- a/tests/test_relaying_quiet.py
+++ b/tests/test_relaying_quiet.py
@@ -7,8 +7,8 @@
 from unittest import mock
 
 from linnetwood.core.errors import StoreError
-from linnetwood.fleet.belief import Told, bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import RelayedUpdate, bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import Changes, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.lab import virtual
@@ -26,9 +26,9 @@
     """A store where nothing is written."""
 
     def __init__(self) -> None:
-        self.mute = False
-        self.failing = False
-        self.paused_at: list[float] = []
+        self.is_mute = False
+        self.is_failing = False
+        self.requested_at: list[float] = []
 
     async def read(self, prefix: str) -> Snapshot:
         """Give one key."""
@@ -36,10 +36,10 @@
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Wait in vain, fail, or never answer."""
-        if self.failing:
-            self.paused_at.append(asyncio.get_running_loop().time())
+        if self.is_failing:
+            self.requested_at.append(asyncio.get_running_loop().time())
             raise StoreError('store-unreachable', '')
-        if self.mute:
+        if self.is_mute:
             # As the store's client: no first byte (wait_s and 2 s).
             await asyncio.sleep(wait_s + 2)
             raise StoreError('store-unreachable', 'silent')
@@ -47,14 +47,14 @@
         return Changes((), after)
 
 
-def follower(store: Quiet) -> Following:
+def new_follower(store: Quiet) -> RangeFollower:
     """Give a follower within a bound of three seconds."""
-    return Following(store, '', mock.Mock(), Random(1), bounds_within(BOUND_S))
+    return RangeFollower(store, '', mock.Mock(), Random(1), bounds_for(BOUND_S))
 
 
-def word(age_s: float, revision: int = 1) -> Told:
+def word(age_s: float, revision: int = 1) -> RelayedUpdate:
     """Give a neighbour's word without news."""
-    return Told(revision, age_s, math.inf, math.inf, 0, False, ())
+    return RelayedUpdate(revision, age_s, math.inf, math.inf, 0, False, ())
 
 
 class FollowingTest(unittest.TestCase):
@@ -64,20 +64,20 @@
         """Nothing is wrong with the store: no belief gets old."""
 
         async def play() -> None:
-            following = follower(Quiet())
-            following.start()
+            follower = new_follower(Quiet())
+            follower.start()
             loop = asyncio.get_running_loop()
             await asyncio.sleep(0.1)
             for _ in range(10):
-                following.told(word(0.1))
+                follower.apply_update(word(0.1))
                 await asyncio.sleep(BEAT_S)
             # The neighbour is gone from now on.
             oldest_s = 0.0
             until = loop.time() + 4
             while loop.time() < until:
-                oldest_s = max(oldest_s, loop.time() - following.heard_at)
+                oldest_s = max(oldest_s, loop.time() - follower.confirmed_at)
                 await asyncio.sleep(0.01)
-            await following.close()
+            await follower.close()
             self.assertLess(oldest_s, TRUSTED_S)
 
         virtual.run(play())
@@ -87,23 +87,23 @@
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.Handle(store, 'me')
-            following = Following(
-                handle, '', zones.Newest(), Random(1), bounds_within(BOUND_S)
+            handle = zones.StoreLink(store, 'me')
+            follower = RangeFollower(
+                handle, '', zones.NewestSink(), Random(1), bounds_for(BOUND_S)
             )
-            handle.heard = following.flowed
-            following.start()
+            handle.on_bytes = follower.note_bytes
+            follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 3000000)
             # It is turned to another entry while its own answer comes.
-            following.borrows = True
+            follower.uses_fallback_relay = True
             furthest_s = 0.0
             for _ in range(400):
-                following.told(word(0, following.revision))
-                before = following.heard_at
+                follower.apply_update(word(0, follower.revision))
+                before = follower.confirmed_at
                 await asyncio.sleep(0.01)
-                furthest_s = max(furthest_s, before - following.heard_at)
-            await following.close()
+                furthest_s = max(furthest_s, before - follower.confirmed_at)
+            await follower.close()
             self.assertEqual(furthest_s, 0)
 
         virtual.run(play())
@@ -113,22 +113,22 @@
 
         async def play() -> None:
             store = Quiet()
-            following = follower(store)
-            following.backed = True
-            following.start()
+            follower = new_follower(store)
+            follower.has_relays = True
+            follower.start()
             await asyncio.sleep(0.1)
-            store.failing = True
+            store.is_failing = True
             await asyncio.sleep(12)
-            store.failing = False
+            store.is_failing = False
             # From now on a neighbour tells, all the while.
             for _ in range(300):
-                following.told(word(0.1))
+                follower.apply_update(word(0.1))
                 await asyncio.sleep(BEAT_S)
-            store.failing = True
-            store.paused_at.clear()
+            store.is_failing = True
+            store.requested_at.clear()
             await asyncio.sleep(6)
-            await following.close()
-            first, second = store.paused_at[:2]
+            await follower.close()
+            first, second = store.requested_at[:2]
             self.assertLess(second - first, 0.4)
 
         virtual.run(play())
@@ -141,11 +141,11 @@
         """
 
         async def play() -> None:
-            following = follower(Quiet())
+            follower = new_follower(Quiet())
             loop = asyncio.get_running_loop()
-            following._note_heard(loop.time() - 2 * BOUND_S)
-            self.assertFalse(following.unanswered)
-            self.assertFalse(following.lost)
+            follower._note_answer(loop.time() - 2 * BOUND_S)
+            self.assertFalse(follower.is_store_silent)
+            self.assertFalse(follower.is_isolated)
 
         virtual.run(play())
 
@@ -154,30 +154,30 @@
 
         async def play() -> None:
             store = zones.FarStore()
-            sink = zones.Newest()
-            following = Following(
-                zones.Handle(store, 'me'),
+            sink = zones.NewestSink()
+            follower = RangeFollower(
+                zones.StoreLink(store, 'me'),
                 '',
                 sink,
                 Random(1),
-                bounds_within(BOUND_S),
+                bounds_for(BOUND_S),
             )
-            following.start()
+            follower.start()
             await asyncio.sleep(1)
             store.write(b'2')
             loop = asyncio.get_running_loop()
             written_at = loop.time()
-            following.told(word(0))
-            sink.at = written_at
+            follower.apply_update(word(0))
+            sink.applied_at = written_at
             while loop.time() < written_at + 2 * BOUND_S:
                 age_s = loop.time() - written_at + 0.5
                 flowing_s = age_s % 0.5
-                told = Told(1, age_s, 0, flowing_s, 0, False, ())
-                following.told(told)
+                update = RelayedUpdate(1, age_s, 0, flowing_s, 0, False, ())
+                follower.apply_update(update)
                 await asyncio.sleep(BEAT_S)
-            await following.close()
+            await follower.close()
             self.assertEqual(sink.payload, b'2')
-            self.assertLess(sink.at - written_at, BOUND_S)
+            self.assertLess(sink.applied_at - written_at, BOUND_S)
 
         virtual.run(play())
 
@@ -186,19 +186,19 @@
 
         async def play() -> None:
             store = Quiet()
-            following = follower(store)
-            following.start()
+            follower = new_follower(store)
+            follower.start()
             await asyncio.sleep(0.95)
-            store.mute = True
+            store.is_mute = True
             await asyncio.sleep(1 + TRUSTED_S)
-            lost = following.lost
-            await following.close()
+            lost = follower.is_isolated
+            await follower.close()
             self.assertTrue(lost)
 
         virtual.run(play())
 
 
-class MuteHandle(zones.Handle):
+class MuteHandle(zones.StoreLink):
     """A way to a store that gives some entries no answer at all."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
@@ -209,7 +209,7 @@
         except TimeoutError as exc:
             raise StoreError('store-unreachable', 'silent') from exc
 
-    async def _reach(self) -> None:
+    async def _connect(self) -> None:
         self._store.calls += 1
         if self._name in self._store.cut:
             await asyncio.Event().wait()
@@ -224,17 +224,17 @@
         late_s: list[float] = []
 
         async def act(zone: zones.Zone) -> None:
-            first = zone.first()
+            first = zone.first_relay()
             # Anywhere in a wait.
             await asyncio.sleep(len(late_s) * 0.05)
             zone.store.cut.add(first.name)
             zone.store.write(b'2')
             written_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2 * zones.APPLY_S)
-            late_s.append(first.sink.at - written_at)
+            late_s.append(first.sink.applied_at - written_at)
 
         for _ in range(20):
-            with mock.patch.object(zones, 'Handle', MuteHandle):
+            with mock.patch.object(zones, 'StoreLink', MuteHandle):
                 zones.played(act)
         self.assertLess(max(late_s), zones.APPLY_S)
 
@@ -243,14 +243,14 @@
 
         async def act(zone: zones.Zone) -> None:
             loop = asyncio.get_running_loop()
-            await zone.kill(zone.first())
+            await zone.kill(zone.first_relay())
             oldest_s = 0.0
             until = loop.time() + 5
             while loop.time() < until:
                 oldest_s = max(
                     oldest_s,
                     *(
-                        loop.time() - one.following.heard_at
+                        loop.time() - one.follower.confirmed_at
                         for one in zone.entries
                     ),
                 )
@@ -272,10 +272,10 @@
         key = records.VERSION_PREFIX + 'm'
         found = Snapshot({key: Record(b'', 1)}, 1)
         with mock.patch.object(records, 'named_version', return_value=('m', 2)):
-            feed.replaced(found)
+            feed.replace_all(found)
             before = wanted.cutoff('m', 2)
             clock.now.return_value = 106.0
-            feed.replaced(found)
+            feed.replace_all(found)
         self.assertEqual(wanted.cutoff('m', 2), before)
 
 
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -5,11 +5,11 @@
 from random import Random
 from unittest import mock
 
-from linnetwood.fleet.belief import Told, bounds_within
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.freshness import RelayedUpdate, bounds_for
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
-from linnetwood.fleet.rangeteller import RangeTeller
-from linnetwood.fleet.toldreading import read_told
+from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.relayreader import read_update
 from linnetwood.gen.wire.ttypes import RangeRequest
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet
@@ -26,7 +26,7 @@
     reads = 0
 
 
-class CountingHandle(zones.Handle):
+class CountingHandle(zones.StoreLink):
     """An entry's way to it."""
 
     async def read(self, prefix: str) -> Snapshot:
@@ -35,7 +35,7 @@
         return await super().read(prefix)
 
 
-class SlowHandle(zones.Handle):
+class SlowHandle(zones.StoreLink):
     """A way to a store that takes half a second over each answer."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
@@ -44,14 +44,14 @@
         return await super().wait(prefix, after, wait_s)
 
 
-def follower() -> Following:
+def new_follower() -> RangeFollower:
     """Give one that follows a store of its own, and has not begun."""
-    return Following(
-        zones.Handle(zones.FarStore(), 'me'),
+    return RangeFollower(
+        zones.StoreLink(zones.FarStore(), 'me'),
         '',
-        zones.Newest(),
+        zones.NewestSink(),
         Random(1),
-        bounds_within(2),
+        bounds_for(2),
     )
 
 
@@ -60,10 +60,10 @@
     CountingStore.reads = 0
     with (
         mock.patch.object(zones, 'FarStore', CountingStore),
-        mock.patch.object(zones, 'Handle', CountingHandle),
+        mock.patch.object(zones, 'StoreLink', CountingHandle),
     ):
         zone = zones.Zone()
-        zone.store.records[KEY] = Record(b'1' * zones.LARGE * 3, 1)
+        zone.store.records[KEY] = Record(b'1' * zones.LARGE_BYTES * 3, 1)
         await zone.start()
         await zone.close()
     return CountingStore.reads
@@ -76,7 +76,7 @@
         """Whoever the store turns away hears a neighbour that it serves."""
 
         async def act(zone: zones.Zone) -> None:
-            first = zone.first()
+            first = zone.first_relay()
             zone.store.cut.add(first.name)
             zone.store.write(b'2')
             await asyncio.sleep(zones.APPLY_S + 5)
@@ -93,7 +93,7 @@
         """While a slow store answers the first, the others leave it alone."""
 
         with (
-            mock.patch.object(zones, 'Handle', SlowHandle),
+            mock.patch.object(zones, 'StoreLink', SlowHandle),
             mock.patch.object(zones, 'APPLY_S', 2.0),
         ):
             calls: list[int] = []
@@ -111,7 +111,7 @@
         """A teller that hears nothing itself is not dialled all the time."""
 
         async def act(zone: zones.Zone) -> None:
-            zone.store.cut.add(zone.first().name)
+            zone.store.cut.add(zone.first_relay().name)
             with mock.patch.object(
                 MemoryNet, 'dial', autospec=True, side_effect=MemoryNet.dial
             ) as dial:
@@ -130,19 +130,19 @@
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.Handle(store, 'me')
-            following = Following(
-                handle, '', zones.Newest(), Random(1), bounds_within(2)
+            handle = zones.StoreLink(store, 'me')
+            follower = RangeFollower(
+                handle, '', zones.NewestSink(), Random(1), bounds_for(2)
             )
-            handle.heard = following.flowed
+            handle.on_bytes = follower.note_bytes
             store.records[KEY] = Record(b'1' * 6000000, 1)
-            following.start()
+            follower.start()
             await asyncio.sleep(0.1)
             # Written after the store made up its answer, which takes 4 s.
             store.write(b'2')
-            await following.learned.wait()
-            age_s = asyncio.get_running_loop().time() - following.heard_at
-            await following.close()
+            await follower.synced.wait()
+            age_s = asyncio.get_running_loop().time() - follower.confirmed_at
+            await follower.close()
             self.assertGreater(age_s, 3.5)
 
         virtual.run(play())
@@ -161,17 +161,17 @@
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.Handle(store, 'me')
-            newest = zones.Newest()
-            following = Following(
-                handle, '', newest, Random(1), bounds_within(2)
+            handle = zones.StoreLink(store, 'me')
+            newest = zones.NewestSink()
+            follower = RangeFollower(
+                handle, '', newest, Random(1), bounds_for(2)
             )
-            handle.heard = following.flowed
-            following.start()
+            handle.on_bytes = follower.note_bytes
+            follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 4 * zones.LINK_BYTES_PER_S)
             await asyncio.sleep(5)
-            await following.close()
+            await follower.close()
             self.assertEqual(len(newest.ages), 1)
             self.assertGreater(newest.ages[0], 3.5)
 
@@ -181,11 +181,11 @@
         """What a neighbour confirmed meanwhile stays confirmed."""
 
         async def play() -> None:
-            following = follower()
-            following.told(Told(1, 0, 0, 0, 0, False, ()))
-            heard_at = following.heard_at
-            following._note_heard(heard_at - 1)
-            self.assertEqual(following.heard_at, heard_at)
+            follower = new_follower()
+            follower.apply_update(RelayedUpdate(1, 0, 0, 0, 0, False, ()))
+            heard_at = follower.confirmed_at
+            follower._note_answer(heard_at - 1)
+            self.assertEqual(follower.confirmed_at, heard_at)
 
         virtual.run(play())
 
@@ -197,13 +197,13 @@
             store = CountingStore()
             store.records[KEY] = Record(b'1' * zones.LINK_BYTES_PER_S * 8, 1)
             handle = CountingHandle(store, 'me')
-            following = Following(
-                handle, '', zones.Newest(), Random(1), bounds_within(2)
+            follower = RangeFollower(
+                handle, '', zones.NewestSink(), Random(1), bounds_for(2)
             )
-            handle.heard = following.flowed
-            following.start()
+            handle.on_bytes = follower.note_bytes
+            follower.start()
             await asyncio.sleep(30)
-            await following.close()
+            await follower.close()
             self.assertEqual(CountingStore.reads, 1)
 
         virtual.run(play())
@@ -212,8 +212,8 @@
         """A whole range that a neighbour tells brings its ages, too."""
 
         async def play() -> None:
-            following = follower()
-            told = Told(
+            follower = new_follower()
+            update = RelayedUpdate(
                 9,
                 0,
                 0,
@@ -222,10 +222,10 @@
                 whole=True,
                 changes=(Change(KEY, Record(b'x', 7), 5),),
             )
-            following.told(told)
+            follower.apply_update(update)
             now = asyncio.get_running_loop().time()
-            lack = following.mirror.lack(0, now)
-            self.assertEqual([one.age_s for one in lack.changes], [5])
+            delta = follower.mirror.delta_since(0, now)
+            self.assertEqual([one.age_s for one in delta.changes], [5])
 
         virtual.run(play())
 
@@ -237,11 +237,13 @@
         """Whoever is told of an outage tells of one."""
 
         async def play() -> None:
-            following = follower()
-            before = following.outages
+            follower = new_follower()
+            before = follower.outages
             for outages in (0, 1):
-                following.told(Told(1, 0, 0, 0, outages, False, ()))
-            self.assertGreater(following.outages, before)
+                follower.apply_update(
+                    RelayedUpdate(1, 0, 0, 0, outages, False, ())
+                )
+            self.assertGreater(follower.outages, before)
 
         virtual.run(play())
 
@@ -253,13 +255,13 @@
         """What was packed as changes is never sent as the whole range."""
 
         async def play() -> None:
-            following = follower()
-            mirror = following.mirror
+            follower = new_follower()
+            mirror = follower.mirror
             whole = {KEY: Record(b'1', 1), 'servers/a': Record(b'a', 2)}
-            mirror.replaced(Snapshot(whole, 2), 0)
+            mirror.replace_all(Snapshot(whole, 2), 0)
             new = Record(b'2', 3)
-            mirror.changed((Change(KEY, new),), 3, 0)
-            teller = RangeTeller(following)
+            mirror.apply_changes((Change(KEY, new),), 3, 0)
+            teller = RangeRelayServer(follower)
             net = MemoryNet(Random(1), 0, 0)
 
             async def accept(stream: FrameStream) -> None:
@@ -267,18 +269,18 @@
 
             net.accepting[('t', 1)] = accept
 
-            async def ask(after: int) -> Told:
+            async def ask(after: int) -> RelayedUpdate:
                 stream = await MemoryDialler(net).dial(('t', 1))
                 request = encode(RangeRequest(after=after))
                 await stream.write(FrameKind.RANGE_REQUEST, request)
-                told = await read_told(stream)
+                update = await read_update(stream)
                 stream.close()
-                return told
+                return update
 
             before = await ask(2)
             self.assertFalse(before.whole)
             # Read anew after an outage; nothing was written meanwhile.
-            mirror.replaced(Snapshot({**whole, KEY: new}, 3), 1)
+            mirror.replace_all(Snapshot({**whole, KEY: new}, 3), 1)
             after = await ask(2)
             await net.close()
             keys = {one.key for one in after.changes}
@@ -296,13 +298,13 @@
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.Handle(store, 'me')
-            sink = zones.Newest()
-            following = Following(handle, '', sink, Random(1), bounds_within(3))
-            handle.heard = following.flowed
-            following.start()
+            handle = zones.StoreLink(store, 'me')
+            sink = zones.NewestSink()
+            follower = RangeFollower(handle, '', sink, Random(1), bounds_for(3))
+            handle.on_bytes = follower.note_bytes
+            follower.start()
             await asyncio.sleep(3)
-            store.write(b'2' * zones.LARGE * 3)
+            store.write(b'2' * zones.LARGE_BYTES * 3)
             await asyncio.sleep(0.4)
             self.assertEqual(sink.payload, b'1')
             # The neighbour knows no more, and its own answer begins.
@@ -310,12 +312,14 @@
             written_at = loop.time()
             for nth in range(20):
                 flowing_s = nth * 0.1
-                told = Told(1, 2 + flowing_s, 0, flowing_s, 0, False, ())
-                following.told(told)
+                update = RelayedUpdate(
+                    1, 2 + flowing_s, 0, flowing_s, 0, False, ()
+                )
+                follower.apply_update(update)
                 await asyncio.sleep(0.1)
             await asyncio.sleep(3)
-            late_s = sink.at - written_at
-            await following.close()
+            late_s = sink.applied_at - written_at
+            await follower.close()
             self.assertEqual(sink.payload[:1], b'2')
             self.assertLess(late_s, zones.APPLY_S)
 
--- a/tests/test_resident_entry.py
+++ b/tests/test_resident_entry.py
@@ -50,7 +50,7 @@
         )
 
     async def asyncTearDown(self) -> None:
-        await self.entry._following.close()
+        await self.entry._follower.close()
         self.entry._callers.stop()
         await self.entry._callers.close_all_connections()
         self.entry.driver.close()
@@ -58,9 +58,9 @@
 
     async def learn(self) -> None:
         """Follow the store until its one good answer has come."""
-        self.entry._following.start()
+        self.entry._follower.start()
         async with asyncio.timeout(60):
-            await self.entry._following.learned.wait()
+            await self.entry._follower.synced.wait()
 
     async def test_calls_are_told_by_what_is_in_force(self) -> None:
         """Nothing is known at first; then version, revision and both ages."""
@@ -93,11 +93,11 @@
     async def test_ages_grow_while_the_store_fails(self) -> None:
         """What fails confirms nothing."""
         await self.learn()
-        heard_at = self.entry._following.heard_at
+        heard_at = self.entry._follower.confirmed_at
         async with asyncio.timeout(60):
             while len(self.store.requests) < 3:
                 await asyncio.sleep(0.01)
-        self.assertEqual(self.entry._following.heard_at, heard_at)
+        self.assertEqual(self.entry._follower.confirmed_at, heard_at)
         now = asyncio.get_running_loop().time()
         self.assertGreaterEqual(
             self.entry.vigil.store_age_s(),
@@ -114,7 +114,7 @@
             *sockets[0].getsockname()
         )
         now = asyncio.get_running_loop().time()
-        self.entry._following.heard_at = now - store_age_s
+        self.entry._follower.confirmed_at = now - store_age_s
         writer.write(asked)
         line = await reader.readline()
         writer.close()
@@ -133,7 +133,7 @@
         for age_s, old in ((0, False), (1, False), (1.21, True), (6, True)):
             with self.subTest(age_s=age_s):
                 now = asyncio.get_running_loop().time()
-                self.entry._following.heard_at = now - age_s
+                self.entry._follower.confirmed_at = now - age_s
                 self.assertIs(self.entry.front.grounds().old, old)
 
     async def test_a_fresh_belief_refuses_for_good(self) -> None:
--- a/tests/test_shared_ends.py
+++ b/tests/test_shared_ends.py
@@ -19,7 +19,7 @@
 def known(entry: RegionEntry) -> set[str]:
     """Give the keys of ends that an entry holds."""
     now = asyncio.get_running_loop().time()
-    held = entry.following.mirror.lack(0, now).changes
+    held = entry.follower.mirror.delta_since(0, now).changes
     return {one.key for one in held if one.record and 'ends/' in one.key}
 
 
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -9,7 +9,7 @@
 
 from linnetwood.core.errors import WeightsError
 from linnetwood.fleet import configuration
-from linnetwood.fleet.following import Following
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.ranges import (
     Change,
     Changes,
@@ -25,7 +25,7 @@
 from tests.test_config_machine import process
 from tests.test_configuration import FakeStore
 from tests.test_curldriver import HOST, Server
-from tests.test_following import Kept, answer, row
+from tests.test_following import RecordingSink, answer, row
 
 # About the size of a configuration of 250 routes.
 LARGE = 'x' * 200000
@@ -121,11 +121,11 @@
     server = TricklingServer(*steps)
     driver = CurlDriver()
     store = PlatformStore((HOST, await server.start()), driver)
-    following = Following(store, '', Kept(), Random(1))
-    following.start()
+    follower = RangeFollower(store, '', RecordingSink(), Random(1))
+    follower.start()
     async with asyncio.timeout(GUARD_S):
         await server.done.wait()
-    await following.close()
+    await follower.close()
     driver.close()
     await server.close()
     return server.asked()
@@ -297,15 +297,15 @@
     def __init__(self) -> None:
         self.revision = 0
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         self.revision = max(one.revision for one in found.records.values())
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         for one in changes:
             if one.record is not None:
                 self.revision = max(self.revision, one.record.revision)
 
-    def away(self) -> None:
+    def mark_unreachable(self) -> None:
         """Keep what there is."""
 
 
@@ -361,13 +361,13 @@
         store = ShortWaits(PlatformStore((HOST, await server.start()), driver))
         sinks = [Newest() for _ in range(FOLLOWERS)]
         tasks = [
-            Following(store, '', sink, Random(seed))
+            RangeFollower(store, '', sink, Random(seed))
             for seed, sink in enumerate(sinks)
         ]
         for one in tasks:
             one.start()
         async with asyncio.timeout(GUARD_S):
-            await asyncio.gather(*(one.learned.wait() for one in tasks))
+            await asyncio.gather(*(one.synced.wait() for one in tasks))
             server.storm.set()
             while server.link.sent < ALLOWED_BYTES:
                 if all(sink.revision == NEWEST for sink in sinks):
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -17,7 +17,7 @@
 from linnetwood.fleet.listeners import Listeners
 from linnetwood.fleet.news import Address, NewsPort
 from linnetwood.fleet.peerlist import PeerFollower
-from linnetwood.fleet.tellers import Tellers
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import EngineSaid, News
 from linnetwood.lab import virtual
@@ -157,7 +157,7 @@
             PORT,
             lambda: None,
             self.zone(number),
-            Tellers(host, Random(1)),
+            RelaySelector(host, Random(1)),
         )
         reports.book = RouteBook(services={POOL.name: POOL})
         reports._news = Port(host, self.wire, 1)
