--- a/src/linnetwood/platform/crashstore.py
+++ b/src/linnetwood/platform/crashstore.py
@@ -80,7 +80,7 @@
         self._clock = clock
         self._ignored = ignored or Ignored()
 
-    def replaced(self, found: Snapshot) -> None:
+    def replace_all(self, found: Snapshot) -> None:
         """Take in all of them; one that nobody saw come counts from now."""
         now = self._clock.now()
         crashes = []
@@ -91,7 +91,7 @@
                 crashes.append((crash, now - _known_for_s(age_s)))
         self._crashes.replace_shared(crashes)
 
-    def changed(self, changes: tuple[Change, ...]) -> None:
+    def apply_changes(self, changes: tuple[Change, ...]) -> None:
         """Take in changes, in order."""
         now = self._clock.now()
         for change in changes:
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -5,11 +5,11 @@
 
 from linnetwood.calls.candidates import NEAR_MOST
 from linnetwood.core.clock import Clock
-from linnetwood.fleet.elsewhere import teller_place
 from linnetwood.fleet.hosts import pack
-from linnetwood.fleet.lastsaid import LastSaid
+from linnetwood.fleet.latestnotice import LatestNotice
 from linnetwood.fleet.news import Address, NewsSocket
 from linnetwood.fleet.peerlist import PeerListClient
+from linnetwood.fleet.remotezoneselector import relay_rank
 from linnetwood.fleet.reportsubscribers import (
     ReportSubscribers,
     ReportSubscription,
@@ -72,7 +72,7 @@
         self._inflow = inflow
         self._news = NewsSocket(self)
         self._listeners = ReportSubscribers(clock.now())
-        self._last_said = LastSaid()
+        self._latest_notice = LatestNotice()
         self._peers = PeerListClient(TcpDialler(), self._learned)
         self._rng = Random()
         self._number = 0
@@ -104,7 +104,7 @@
         if news.held is not None:
             self._follower.noticed(news.held)
         if news.said is not None:
-            self._last_said.heard(news.said, self._clock.now())
+            self._latest_notice.update(news.said, self._clock.now())
         if news.asks is not None:
             answer = self._neighbours(news.asks.zone)
             self._news.send(News(neighbours=answer), [source])
@@ -187,7 +187,7 @@
             way_ms=int(self._inflow.tell_way_s(now) * _MILLISECONDS),
             born=report.born,
         )
-        said = self._last_said.told(now, self.every_s)
+        said = self._latest_notice.for_report(now, self.every_s)
         if said is not None:
             engine.said = said
         return engine
@@ -250,7 +250,7 @@
 
     def _in_turn(self, zone: str) -> list[Address]:
         near = self._listeners.in_zone(zone)
-        return sorted(near, key=lambda one: teller_place(one[0]))
+        return sorted(near, key=lambda one: relay_rank(one[0]))
 
     def _tell_held(self, now: float) -> None:
         notices = self._follower.notices()
--- a/tests/test_crashwatch.py
+++ b/tests/test_crashwatch.py
@@ -255,13 +255,13 @@
         """By changes and by whole ranges."""
         key = crash_key(CRASH)
         self.assertLessEqual(len(key), 200)
-        self.feed.changed((Change(key, Record(b'', 3)),))
+        self.feed.apply_changes((Change(key, Record(b'', 3)),))
         self.assertEqual(self.crashes.crash_count(FINGERPRINT), 1)
-        self.feed.changed((Change(key, None),))
+        self.feed.apply_changes((Change(key, None),))
         self.assertEqual(self.crashes.crash_count(FINGERPRINT), 0)
-        self.feed.replaced(Snapshot({key: Record(b'', 3)}, 3))
+        self.feed.replace_all(Snapshot({key: Record(b'', 3)}, 3))
         self.assertEqual(self.crashes.crash_count(FINGERPRINT), 1)
-        self.feed.replaced(Snapshot({}, 4))
+        self.feed.replace_all(Snapshot({}, 4))
         self.assertEqual(self.crashes.crash_count(FINGERPRINT), 0)
 
     def test_what_another_took_away(self) -> None:
@@ -271,9 +271,9 @@
         self.addCleanup(loop.close)
         clock = VirtualClock(loop)
         feed = CrashFeed(self.crashes, clock, removed=removed.append)
-        feed.changed((Change(crash_key(CRASH), Record(b'', 3)),))
+        feed.apply_changes((Change(crash_key(CRASH), Record(b'', 3)),))
         self.assertEqual(removed, [])
-        feed.changed((Change(crash_key(CRASH), None),))
+        feed.apply_changes((Change(crash_key(CRASH), None),))
         self.assertEqual(removed, [CRASH])
 
     def test_keys_that_others_wrote(self) -> None:
@@ -284,9 +284,11 @@
             f'ends/{FINGERPRINT}',
             'ends/' + '/' * 9,
         ):
-            self.feed.changed((Change(key, Record(b'\xff', 3)),))
-            self.feed.changed((Change(key, None),))
-        self.feed.changed((Change(crash_key(CRASH), Record(b'\xff{', 3)),))
+            self.feed.apply_changes((Change(key, Record(b'\xff', 3)),))
+            self.feed.apply_changes((Change(key, None),))
+        self.feed.apply_changes(
+            (Change(crash_key(CRASH), Record(b'\xff{', 3)),)
+        )
         self.assertEqual(self.crashes.crash_count(FINGERPRINT), 1)
 
 
--- a/tests/test_junk.py
+++ b/tests/test_junk.py
@@ -22,7 +22,7 @@
     StoreError,
     WeightsError,
 )
-from linnetwood.fleet.rangeparts import unpack
+from linnetwood.fleet.rangecodec import unpack
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.platform.crashstore import CrashFeed
@@ -87,7 +87,7 @@
             EndpointFeed(self.directory, clock, self._changed),
             CrashFeed(CrashHistory(), clock),
         )
-        self.feed.replaced(
+        self.feed.replace_all(
             Snapshot(
                 {
                     'op/config': told(CONFIG),
@@ -105,7 +105,7 @@
 
     def change(self, key: str, payload: bytes) -> None:
         """Write one key."""
-        self.feed.changed((Change(key, Record(payload, 10)),))
+        self.feed.apply_changes((Change(key, Record(payload, 10)),))
 
     def _adopt(self, route_table: RouteTable) -> None:
         self.route_table = route_table
@@ -168,7 +168,7 @@
                     'servers/a': Record(payload, 11),
                     'servers/b': told(ENTRY),
                 }
-                fed.feed.replaced(Snapshot(found, 11))
+                fed.feed.replace_all(Snapshot(found, 11))
                 self.assertEqual(fed.names(), {'b'})
 
     @given(
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -16,8 +16,8 @@
 from linnetwood.calls.routetable import RouteTable
 from linnetwood.fleet.news import Address, NewsSocket
 from linnetwood.fleet.peerlist import PeerListClient
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.reportsubscribers import ReportSubscribers
-from linnetwood.fleet.tellers import Tellers
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import EngineSaid, News
 from linnetwood.lab import virtual
@@ -157,7 +157,7 @@
             PORT,
             lambda: None,
             self.zone(number),
-            Tellers(host, Random(1)),
+            RelaySelector(host, Random(1)),
         )
         reports.route_table = RouteTable(services={POOL.name: POOL})
         reports._news = Port(host, self.wire, 1)
