--- a/src/linnetwood/calls/accounts.py
+++ b/src/linnetwood/calls/accounts.py
@@ -3,13 +3,13 @@
 import dataclasses
 
 from linnetwood.calls.attempt import Attempt, AttemptEnd
-from linnetwood.calls.choice import Choice, Need
+from linnetwood.calls.choice import Choice, Requirements
 from linnetwood.calls.dialect import Urgency
-from linnetwood.calls.directory import Listed
+from linnetwood.calls.directory import Endpoint
 from linnetwood.calls.grounds import Grounds
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.routebook import Route
-from linnetwood.calls.standing import Standing
+from linnetwood.calls.endpointstats import EndpointStats
 from linnetwood.core.events import Event, log
 from linnetwood.core.metrics import Metric, Metrics
 
@@ -43,12 +43,12 @@
     prompt: int = 0
 
 
-def believed(standing: Standing, now: float) -> Belief:
+def believed(stats: EndpointStats, now: float) -> Belief:
     """Say what is believed of an endpoint."""
-    waiting, running = standing.work(now)
-    report = standing.report
-    age_ms = _NEVER if report is None else _ms(now - report.heard_at)
-    slow_ms = _ms(standing.slow_s(now))
+    waiting, running = stats.estimate_work(now)
+    report = stats.report
+    age_ms = _NEVER if report is None else _ms(now - report.received_at)
+    slow_ms = _ms(stats.extra_link_delay_s(now))
     return Belief(round(waiting, 1), running, age_ms, slow_ms)
 
 
@@ -86,7 +86,7 @@
         call=sending.call_id,
         likeness=sending.likeness,
         route=route.name,
-        endpoint=sending.choice.endpoint.endpoint,
+        endpoint=sending.choice.endpoint.endpoint_id,
         born=sending.choice.endpoint.born,
         far=sending.choice.far,
         version=sending.choice.version,
@@ -113,7 +113,7 @@
 
 
 def tell_notice(
-    one: Listed,
+    one: Endpoint,
     notice: Notice,
     call_id: str = '',
     rest_s: float = 0,
@@ -122,20 +122,20 @@
     log(
         Event.ENDPOINT_NOTICE,
         call=call_id,
-        endpoint=one.endpoint,
+        endpoint=one.endpoint_id,
         born=one.born,
         service=one.service,
         limit_per_s=notice.limit_per_s,
         leaving=notice.leaving,
         rest_s=rest_s,
-        unread=notice.unread,
+        unread=notice.unreadable,
     )
 
 
 def tell_admission(
     call_id: str,
     route: Route,
-    need: Need,
+    requirements: Requirements,
     choice: Choice,
     belief: Belief,
     outcome: str,
@@ -145,15 +145,15 @@
         Event.ADMISSION_DECIDED,
         call=call_id,
         route=route.name,
-        endpoint=choice.endpoint.endpoint,
+        endpoint=choice.endpoint.endpoint_id,
         far=choice.far,
         version=choice.version,
-        prompt=need.prompt,
+        prompt=requirements.prompt_tokens,
         waiting=belief.waiting,
         running=belief.running,
         report_age_ms=belief.report_age_ms,
         predicted_ms=_ms(choice.wait_s),
-        enough_ms=_ms(need.enough_s),
+        enough_ms=_ms(requirements.acceptable_wait_s),
         target_ms=_ms(route.target_s),
         outcome=outcome,
     )
--- a/src/linnetwood/calls/callers.py
+++ b/src/linnetwood/calls/callers.py
@@ -15,7 +15,7 @@
 from linnetwood.calls import keys
 from linnetwood.calls.admission import Visit
 from linnetwood.calls.dispatch import Call, Dispatcher, mint
-from linnetwood.calls.routing import Routes, Want
+from linnetwood.calls.routing import Routes, EndpointQuery
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import CallError
 from linnetwood.core.events import Event, log
@@ -262,7 +262,7 @@
             return
         call = Call(
             call_id=secrets.token_hex(8),
-            want=Want(ENGINE_KIND, model=req['model']),
+            query=EndpointQuery(ENGINE_KIND, model=req['model']),
             target=req['model'],
             method='POST',
             path='/generate',
@@ -285,13 +285,13 @@
         key = self.request.headers.get(KEY_HEADER, '')
         method = self.request.method or 'GET'
         try:
-            want = wanted(name, key)
+            query = wanted(name, key)
         except CallError as exc:
             self.end(not_run(Code.KEY_MALFORMED, exc.detail))
             return
         call = Call(
             call_id=secrets.token_hex(8),
-            want=want,
+            query=query,
             target=name,
             method=method,
             path=path,
@@ -325,9 +325,9 @@
             detail = f'count: found {count!r}, allowed is 1 to {_MAX_KEYS}'
             self.end(not_run(Code.BAD_REQUEST, detail))
             return
-        want = Want(name)
+        query = EndpointQuery(name)
         now = self.desk.clock.now()
-        member = self.desk.routes.choose(want, (), now)
+        member = self.desk.routes.choose(query, (), now)
         if member is None:
             self.end(not_run(Code.NO_ENDPOINT, name))
             return
@@ -406,12 +406,12 @@
     return min(MOST_PRIORITY, int(text)) if text.isdecimal() else 0
 
 
-def wanted(name: str, key: str) -> Want:
+def wanted(name: str, key: str) -> EndpointQuery:
     """Give what a call to a service needs; a key names the one endpoint."""
     if not key:
-        return Want(name)
+        return EndpointQuery(name)
     parsed = keys.read(key)
-    return Want(name, vm=parsed.vm, incarnation=parsed.incarnation)
+    return EndpointQuery(name, vm=parsed.vm, incarnation=parsed.incarnation)
 
 
 def find_service(deployment: Deployment, name: str) -> Service | None:
--- a/src/linnetwood/calls/candidates.py
+++ b/src/linnetwood/calls/candidates.py
@@ -18,83 +18,87 @@
 import dataclasses
 from collections.abc import Iterable, Iterator, Mapping
 
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.fleet.members import place_hash
 
 # Engines heard in the own zone: with fewer, reports come more often within the
 # same bytes, and a call looks at two of them.
-NEAR_MOST = 8
+MAX_SAME_ZONE = 8
 # Engines heard elsewhere, and in all where the own zone has few: so many that
 # the entries of one zone leave hardly any of the others' idle. Each one more
 # costs reports.
-FAR_LEAST = 8
-HEARD_LEAST = 16
+MIN_OTHER_ZONES = 8
+MIN_SUBSCRIBED = 16
 # So many engines of a zone are few: all are looked at.
-_FEW = 4
+_MAX_COMPARED = 4
 
 
-def draw(me: str, zone: str, places: Mapping[str, str]) -> dict[str, float]:
+def select_hosts(
+    entry_host: str, zone: str, places: Mapping[str, str]
+) -> dict[str, float]:
     """Give the hosts to hear, each with how many entries this one stands for.
 
     Places are zones by host. A host hears one in so many of the entries of
     this zone, so that the sum over those it hears is the number of entries.
     """
     by_zone: dict[str, list[str]] = {}
-    for listed, place in places.items():
-        by_zone.setdefault(place, []).append(listed)
-    near = by_zone.pop(zone, [])
+    for listed_host, listed_zone in places.items():
+        by_zone.setdefault(listed_zone, []).append(listed_host)
+    same_zone = by_zone.pop(zone, [])
     # Entries of a zone without engines draw alike: who hears them hears all of
     # them, and can tell them of each other.
-    key = me if near else zone
-    drawn = _ranked(key, near)[:NEAR_MOST]
-    heard = {host: len(near) / len(drawn) for host in drawn}
-    heard.update(_draw_far(key, by_zone, _far_most(len(drawn))))
-    return heard
+    key = entry_host if same_zone else zone
+    selected = _ranked(key, same_zone)[:MAX_SAME_ZONE]
+    stands_for = {host: len(same_zone) / len(selected) for host in selected}
+    stands_for.update(
+        _select_other_zones(key, by_zone, _max_other_zones(len(selected)))
+    )
+    return stands_for
 
 
-def _far_most(near: int) -> int:
-    return max(FAR_LEAST, HEARD_LEAST - near)
+def _max_other_zones(same_zone: int) -> int:
+    return max(MIN_OTHER_ZONES, MIN_SUBSCRIBED - same_zone)
 
 
-def _draw_far(
+def _select_other_zones(
     key: str,
     by_zone: Mapping[str, list[str]],
-    most: int,
+    max_hosts: int,
 ) -> dict[str, float]:
     """Draw from each zone in turn, so that none is left out by chance."""
     ranked = {
         zone: iter(_ranked(key, by_zone[zone]))
         for zone in _ranked(key, by_zone)
     }
-    drawn: dict[str, list[str]] = {}
-    for turn, one in _in_turn(ranked, most):
-        drawn.setdefault(turn, []).append(one)
+    selected: dict[str, list[str]] = {}
+    for picked_zone, picked_host in _round_robin(ranked, max_hosts):
+        selected.setdefault(picked_zone, []).append(picked_host)
     # Where there are more zones than draws, each is drawn from now and then.
-    zones = len(by_zone) / max(1, len(drawn))
-    stand_for = {
-        place: zones * len(by_zone[place]) / len(hosts)
-        for place, hosts in drawn.items()
+    zones_per_selected = len(by_zone) / max(1, len(selected))
+    stands_for = {
+        zone: zones_per_selected * len(by_zone[zone]) / len(hosts)
+        for zone, hosts in selected.items()
     }
     return {
-        host: stand_for[place]
-        for place, hosts in drawn.items()
+        host: stands_for[zone]
+        for zone, hosts in selected.items()
         for host in hosts
     }
 
 
-def _in_turn(
+def _round_robin(
     ranked: Mapping[str, Iterator[str]],
-    most: int,
+    max_hosts: int,
 ) -> Iterator[tuple[str, str]]:
-    left = dict(ranked)
+    remaining = dict(ranked)
     count = 0
-    while left:
-        for zone, hosts in list(left.items()):
+    while remaining:
+        for zone, hosts in list(remaining.items()):
             host = next(hosts, None)
             if host is None:
-                left.pop(zone)
+                remaining.pop(zone)
                 continue
-            if count == most:
+            if count == max_hosts:
                 return
             count += 1
             yield zone, host
@@ -108,79 +112,85 @@
 class Group:
     """Endpoints to look at together: all of them, or two by lot."""
 
-    listed: list[Listed]
-    by_lot: bool = False
+    endpoints: list[Endpoint]
+    is_sampled: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Heard:
+class _Partition:
     """The endpoints of a service that are heard."""
 
-    near: list[Listed]
-    far: list[Listed]
+    same_zone: list[Endpoint]
+    other_zones: list[Endpoint]
 
 
 class Candidates:
     """Hold which engines to look at for a call: those heard, then the rest."""
 
-    __slots__ = ('_changes', '_directory', '_hosts', '_known')
+    __slots__ = ('_change_count', '_directory', '_preferred_hosts', '_cache')
 
     def __init__(self, directory: Directory) -> None:
         """Look at all of the directory until some are drawn."""
         self._directory = directory
-        self._hosts: frozenset[str] | None = None
-        self._known: dict[tuple[str, str], _Heard] = {}
-        self._changes = -1
+        self._preferred_hosts: frozenset[str] | None = None
+        self._cache: dict[tuple[str, str], _Partition] = {}
+        self._change_count = -1
 
-    def hear(self, hosts: Iterable[str]) -> None:
+    def prefer_hosts(self, hosts: Iterable[str]) -> None:
         """Look first at the engines on these hosts."""
-        self._hosts = frozenset(hosts)
-        self._changes = -1
+        self._preferred_hosts = frozenset(hosts)
+        self._change_count = -1
 
     def groups(self, service: str, zone: str, now: float) -> Iterator[Group]:
         """Yield whom to look at, from a zone; the next where none will do."""
-        if self._hosts is not None:
-            heard = self._of_those_heard(service, zone)
-            near = self._ready(heard.near, now)
-            far = self._ready(heard.far, now)
-            if len(near) > _FEW:
-                yield Group(near, by_lot=True)
-                yield Group(far, by_lot=True)
-            yield Group([*near, *far])
-        yield Group(self._directory.ready(service, now))
-
-    def _ready(self, listed: Iterable[Listed], now: float) -> list[Listed]:
-        return [one for one in listed if self._directory.takes(one, now)]
-
-    def _of_those_heard(self, service: str, zone: str) -> _Heard:
-        if self._changes != self._directory.changes:
-            self._changes = self._directory.changes
-            self._known.clear()
-        heard = self._known.get((service, zone))
-        if heard is None:
-            heard = self._sorted_out(service, zone)
-            self._known[service, zone] = heard
-        return heard
-
-    def _sorted_out(self, service: str, zone: str) -> _Heard:
-        hosts = self._hosts or frozenset()
-        heard = [
-            one
-            for one in self._directory.of_service(service)
-            if one.host in hosts
+        if self._preferred_hosts is not None:
+            preferred = self._preferred(service, zone)
+            same_zone = self._eligible(preferred.same_zone, now)
+            other_zones = self._eligible(preferred.other_zones, now)
+            if len(same_zone) > _MAX_COMPARED:
+                yield Group(same_zone, is_sampled=True)
+                yield Group(other_zones, is_sampled=True)
+            yield Group([*same_zone, *other_zones])
+        yield Group(self._directory.eligible(service, now))
+
+    def _eligible(
+        self, endpoints: Iterable[Endpoint], now: float
+    ) -> list[Endpoint]:
+        return [
+            endpoint
+            for endpoint in endpoints
+            if self._directory.is_eligible(endpoint, now)
+        ]
+
+    def _preferred(self, service: str, zone: str) -> _Partition:
+        if self._change_count != self._directory.change_count:
+            self._change_count = self._directory.change_count
+            self._cache.clear()
+        partition = self._cache.get((service, zone))
+        if partition is None:
+            partition = self._partition(service, zone)
+            self._cache[service, zone] = partition
+        return partition
+
+    def _partition(self, service: str, zone: str) -> _Partition:
+        hosts = self._preferred_hosts or frozenset()
+        preferred = [
+            endpoint
+            for endpoint in self._directory.of_service(service)
+            if endpoint.host in hosts
         ]
-        return _Heard(
-            [one for one in heard if one.zone == zone],
-            [one for one in heard if one.zone != zone],
+        return _Partition(
+            [endpoint for endpoint in preferred if endpoint.zone == zone],
+            [endpoint for endpoint in preferred if endpoint.zone != zone],
         )
 
 
-def two_by_lot(listed: list[Listed], lot: int) -> list[Listed]:
+def pick_two(endpoints: list[Endpoint], number: int) -> list[Endpoint]:
     """Give two that a call's number picks, the same for the same list."""
-    count = len(listed)
+    count = len(endpoints)
     if count <= 2:
-        return listed
-    first = lot % count
+        return endpoints
+    first = number % count
     # The second is one of the others.
-    second = (first + 1 + lot // count % (count - 1)) % count
-    return [listed[first], listed[second]]
+    second = (first + 1 + number // count % (count - 1)) % count
+    return [endpoints[first], endpoints[second]]
--- a/src/linnetwood/calls/choice.py
+++ b/src/linnetwood/calls/choice.py
@@ -5,58 +5,58 @@
 from collections.abc import Callable, Collection, Iterable, Iterator
 from random import Random
 
-from linnetwood.calls.candidates import Candidates, Group, two_by_lot
-from linnetwood.calls.coldgate import UNTOLD_S, ColdGate
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.limits import Place, RateLimits
+from linnetwood.calls.candidates import Candidates, Group, pick_two
+from linnetwood.calls.warmuplimiter import ASSUMED_COLD_S, WarmupLimiter
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.limits import RateLimitTarget, RateLimits
 from linnetwood.calls.notices import Notices
-from linnetwood.calls.reach import ANYWHERE, Reach
+from linnetwood.calls.regionscope import ANY_REGION, RegionScope
 from linnetwood.calls.routebook import Service
-from linnetwood.calls.standing import Reporting, Standing
+from linnetwood.calls.endpointstats import Reporting, EndpointStats
 
-_SUSPECT_S = 1.0
-_SHUNNED_S = 4.0
-_PLAIN_WORK_S = 0.08
+_OVERDUE_PENALTY_S = 1.0
+_BACKOFF_PENALTY_S = 4.0
+_SERVICE_CALL_S = 0.08
 # What bytes between zones cost, as a time to wait; delays come on top.
-_FAR_S = 0.015
+_OTHER_ZONE_COST_S = 0.015
 # Two delays to connect, one to ask and one back.
-_DELAYS = 4
+_LINK_DELAYS_PER_CALL = 4
 # Equals within this are chosen among by chance, so that entries don't herd.
 _JITTER_S = 0.01
-_FAILING_S = 2.0
-_CHANGING_S = 1.5
+_FAILURE_PENALTY_S = 2.0
+_VERSION_CHANGE_PENALTY_S = 1.5
 # So long an endpoint is remembered that the list has lost.
-_KEPT_S = 10.0
+_FORGET_AFTER_S = 10.0
 # Less stands against an endpoint that failed now and then.
-_SOUND_S = 1.0
+_HEALTHY_PENALTY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Need:
+class Requirements:
     """What a call asks of an endpoint."""
 
     service: Service
     zone: str
-    prompt: int = 0
+    prompt_tokens: int = 0
     model: str = ''
-    least_version: int = 0
+    min_version: int = 0
     exact_version: int = 0
     urgent: bool = True
-    reach: Reach = ANYWHERE
+    region_scope: RegionScope = ANY_REGION
     # Versions, and from when an endpoint on the usual way must serve them.
-    closing: tuple[tuple[int, float], ...] = ()
+    version_deadlines: tuple[tuple[int, float], ...] = ()
     # A wait that is short enough, so that nobody else need be looked at.
-    enough_s: float = math.inf
+    acceptable_wait_s: float = math.inf
     # By which endpoints are picked where there are many: one for each call, so
     # that whoever is admitted is sent to one of those it was admitted for.
-    lot: int = 0
+    sample_number: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
     """An endpoint and the time to its first byte as predicted."""
 
-    endpoint: Listed
+    endpoint: Endpoint
     wait_s: float
     version: int = 0
     far: bool = False
@@ -69,27 +69,29 @@
 
     def __init__(self, directory: Directory, rng: Random) -> None:
         """Choose among the directory's endpoints."""
-        self.standings: dict[str, Standing] = {}
+        self.stats: dict[str, EndpointStats] = {}
         self.candidates = Candidates(directory)
         # How many entries share what endpoints bear that are cold or limited.
-        self.entries: Callable[[], int] = _one_entry
+        self.entry_count: Callable[[], int] = _count_self
         self.notices = Notices()
-        self._gate = ColdGate(rng, lambda: self.entries())
-        self._limits = RateLimits(self.notices, rng, lambda: self.entries())
+        self._warmup_limiter = WarmupLimiter(rng, lambda: self.entry_count())
+        self._rate_limits = RateLimits(
+            self.notices, rng, lambda: self.entry_count()
+        )
         self._directory = directory
         self._rng = rng
 
-    def standing(self, life: str) -> Standing:
+    def stats_of(self, incarnation_id: str) -> EndpointStats:
         """Give what is known of one life of an endpoint."""
-        found = self.standings.get(life)
+        found = self.stats.get(incarnation_id)
         if found is None:
-            found = Standing()
-            self.standings[life] = found
+            found = EndpointStats()
+            self.stats[incarnation_id] = found
         return found
 
     def choose(
         self,
-        need: Need,
+        requirements: Requirements,
         tried: Collection[str],
         now: float,
     ) -> Choice | None:
@@ -101,211 +103,276 @@
         reported after those.
         """
         best: Choice | None = None
-        groups = self.candidates.groups(need.service.name, need.zone, now)
+        groups = self.candidates.groups(
+            requirements.service.name, requirements.zone, now
+        )
         for group in groups:
-            if best is None or best.reporting or group.by_lot:
-                found = self._best_of(need, group, tried, now)
-                best = _sooner(best, found)
-            if best is not None and _will_do(best, need):
+            if best is None or best.reporting or group.is_sampled:
+                found = self._best_in_group(requirements, group, tried, now)
+                best = _better(best, found)
+            if best is not None and _is_good_enough(best, requirements):
                 break
         return best
 
-    def wait_s(self, need: Need, one: Listed, now: float) -> float:
+    def wait_s(
+        self, requirements: Requirements, endpoint: Endpoint, now: float
+    ) -> float:
         """Predict the time to the first byte at an endpoint."""
-        engine = need.service.engine
-        standing = self.standing(one.life)
-        far_s = 0 if one.zone == need.zone else _FAR_S
+        engine = requirements.service.engine
+        stats = self.stats_of(endpoint.incarnation_id)
+        transit_s = (
+            0 if endpoint.zone == requirements.zone else _OTHER_ZONE_COST_S
+        )
         if engine is None:
-            over = max(0, standing.in_flight - one.slots + 1)
-            ahead = standing.in_flight / max(1, one.slots)
-            return (over + ahead) * _PLAIN_WORK_S + far_s
-        waiting, running = standing.work(now)
-        if need.urgent:
-            waiting *= standing.urgent_share()
-        far_s += _DELAYS * engine.delay_s(need.zone, one.zone)
-        return far_s + engine.first_token_s(need.prompt, waiting, running)
-
-    def limited_s(self, need: Need, now: float) -> float:
+            queued = max(0, stats.in_flight - endpoint.slots + 1)
+            utilization = stats.in_flight / max(1, endpoint.slots)
+            return (queued + utilization) * _SERVICE_CALL_S + transit_s
+        waiting, running = stats.estimate_work(now)
+        if requirements.urgent:
+            waiting *= stats.urgent_share()
+        transit_s += _LINK_DELAYS_PER_CALL * engine.delay_s(
+            requirements.zone, endpoint.zone
+        )
+        return transit_s + engine.first_token_s(
+            requirements.prompt_tokens, waiting, running
+        )
+
+    def rate_limited_s(self, requirements: Requirements, now: float) -> float:
         """Give in how long one that is at its limit, or rests, may have a call.
 
         It is 0 where none does either.
         """
         waits = (
-            self._opens_at(need.service, one, now) - now
-            for one in self._directory.ready(need.service.name, now)
-            if need.reach.allows(one.region)
+            self._available_at(requirements.service, endpoint, now) - now
+            for endpoint in self._directory.eligible(
+                requirements.service.name, now
+            )
+            if requirements.region_scope.allows(endpoint.region)
         )
-        bounded = (wait_s for wait_s in waits if 0 < wait_s < math.inf)
-        return min(bounded, default=0)
+        finite_waits = (wait_s for wait_s in waits if 0 < wait_s < math.inf)
+        return min(finite_waits, default=0)
 
-    def sent(self, service: Service, one: Listed, now: float) -> None:
+    def record_sent(
+        self, service: Service, endpoint: Endpoint, now: float
+    ) -> None:
         """Note that a call goes to an endpoint."""
-        self._limits.sent(self._place(service, one), now)
-        if service.cold_per_s and self._directory.is_cold(one, now):
-            self._gate.sent(one.life, service.cold_per_s, now)
-
-    def lost(self, service: Service, one: Listed, now: float) -> None:
+        self._rate_limits.record_sent(
+            self._rate_limit_target(service, endpoint), now
+        )
+        if service.cold_per_s and self._directory.is_cold(endpoint, now):
+            self._warmup_limiter.record_sent(
+                endpoint.incarnation_id, service.cold_per_s, now
+            )
+
+    def record_unreachable(
+        self, service: Service, endpoint: Endpoint, now: float
+    ) -> None:
         """Note that an endpoint could not be reached: it may come back cold."""
         if service.cold_per_s:
-            until = now + max(UNTOLD_S, service.cold_start_s)
-            self._directory.cold(one.life, until)
+            until = now + max(ASSUMED_COLD_S, service.cold_start_s)
+            self._directory.mark_cold(endpoint.incarnation_id, until)
 
-    def forget(self, now: float) -> None:
+    def forget_unlisted(self, now: float) -> None:
         """Drop what is known of endpoints that are no longer listed.
 
         The list loses who is out of touch for a while, and tells of it again:
         until its last report is that old, it is no newcomer.
         """
-        lives = self._directory.lives()
-        self._gate.keep(lives)
-        self._limits.keep(lives)
-        self.notices.keep(lives, now)
-        for name in self.standings.keys() - lives:
-            standing = self.standings[name]
-            if not standing.in_flight and not standing.heard_within(
-                _KEPT_S,
+        listed_ids = self._directory.incarnation_ids()
+        self._warmup_limiter.forget_unlisted(listed_ids)
+        self._rate_limits.forget_unlisted(listed_ids)
+        self.notices.forget_unlisted(listed_ids, now)
+        for incarnation_id in self.stats.keys() - listed_ids:
+            stats = self.stats[incarnation_id]
+            if not stats.in_flight and not stats.reported_within(
+                _FORGET_AFTER_S,
                 now,
             ):
-                self.standings.pop(name)
+                self.stats.pop(incarnation_id)
 
-    def _best_of(
+    def _best_in_group(
         self,
-        need: Need,
+        requirements: Requirements,
         group: Group,
         tried: Collection[str],
         now: float,
     ) -> Choice | None:
-        able = list(self._able(need, group.listed, tried, now))
-        if group.by_lot:
-            able = self._picked(able, need.lot + len(tried), now)
-        return self._best(need, able, now)
+        eligible = list(
+            self._eligible(requirements, group.endpoints, tried, now)
+        )
+        if group.is_sampled:
+            eligible = self._pick_two(
+                eligible, requirements.sample_number + len(tried), now
+            )
+        return self._best(requirements, eligible, now)
 
     def _best(
         self,
-        need: Need,
-        able: Iterable[Listed],
+        requirements: Requirements,
+        eligible: Iterable[Endpoint],
         now: float,
     ) -> Choice | None:
         best: tuple[tuple[Reporting, float], Choice] | None = None
-        for one in able:
+        for endpoint in eligible:
             # What is believed of a silent one is no reason to go past others.
-            reporting = self._reporting(need, one, now)
-            wait_s = self.wait_s(need, one, now)
-            loss = wait_s + self._penalty(one, now)
-            loss += self._rng.random() * _JITTER_S
-            if best is None or (reporting, loss) < best[0]:
-                version = self._version(need, one)
-                far = one.zone != need.zone
-                choice = Choice(one, wait_s, version, far, reporting)
-                best = ((reporting, loss), choice)
+            reporting = self._reporting(requirements, endpoint, now)
+            wait_s = self.wait_s(requirements, endpoint, now)
+            cost_s = wait_s + self._penalty_s(endpoint, now)
+            cost_s += self._rng.random() * _JITTER_S
+            if best is None or (reporting, cost_s) < best[0]:
+                version = self._version(requirements, endpoint)
+                far = endpoint.zone != requirements.zone
+                choice = Choice(endpoint, wait_s, version, far, reporting)
+                best = ((reporting, cost_s), choice)
         return best[1] if best else None
 
-    def _reporting(self, need: Need, one: Listed, now: float) -> Reporting:
-        if need.service.engine is None:
+    def _reporting(
+        self, requirements: Requirements, endpoint: Endpoint, now: float
+    ) -> Reporting:
+        if requirements.service.engine is None:
             return Reporting.FRESH
-        return self.standing(one.life).reporting(now)
+        return self.stats_of(endpoint.incarnation_id).reporting(now)
 
-    def _picked(
+    def _pick_two(
         self,
-        able: list[Listed],
-        lot: int,
+        eligible: list[Endpoint],
+        number: int,
         now: float,
-    ) -> list[Listed]:
+    ) -> list[Endpoint]:
         """Give two by lot, of those with nothing against them if there are."""
-        sound = [one for one in able if self._penalty(one, now) < _SOUND_S]
-        return two_by_lot(sound or able, lot)
-
-    def _able(
+        healthy = [
+            endpoint
+            for endpoint in eligible
+            if self._penalty_s(endpoint, now) < _HEALTHY_PENALTY_S
+        ]
+        return pick_two(healthy or eligible, number)
+
+    def _eligible(
         self,
-        need: Need,
-        listed: Iterable[Listed],
+        requirements: Requirements,
+        endpoints: Iterable[Endpoint],
         tried: Collection[str],
         now: float,
-    ) -> Iterator[Listed]:
-        for one in listed:
-            if one.life not in tried and self._may_go(need, one, now):
-                yield one
+    ) -> Iterator[Endpoint]:
+        for endpoint in endpoints:
+            if endpoint.incarnation_id not in tried and self._is_eligible(
+                requirements, endpoint, now
+            ):
+                yield endpoint
 
-    def _may_go(self, need: Need, one: Listed, now: float) -> bool:
-        if not need.reach.allows(one.region):
+    def _is_eligible(
+        self, requirements: Requirements, endpoint: Endpoint, now: float
+    ) -> bool:
+        if not requirements.region_scope.allows(endpoint.region):
             return False
-        if need.model and not self._serves(need, one, now):
+        if requirements.model and not self._serves_version(
+            requirements, endpoint, now
+        ):
             return False
-        if self._opens_at(need.service, one, now) > now:
+        if self._available_at(requirements.service, endpoint, now) > now:
             return False
-        return self._bears(need.service, one, now)
+        return self._is_within_warmup_rate(requirements.service, endpoint, now)
 
-    def _opens_at(self, service: Service, one: Listed, now: float) -> float:
+    def _available_at(
+        self, service: Service, endpoint: Endpoint, now: float
+    ) -> float:
         """Give from when on an endpoint takes a call, by its own word."""
         if self.notices.is_empty:
             return -math.inf
-        opens_at = self._limits.opens_at(self._place(service, one), now)
-        return max(opens_at, self.notices.opens_at(one.life))
+        rate_limited_until = self._rate_limits.available_at(
+            self._rate_limit_target(service, endpoint), now
+        )
+        return max(
+            rate_limited_until,
+            self.notices.available_at(endpoint.incarnation_id),
+        )
 
-    def _place(self, service: Service, one: Listed) -> Place:
-        return Place(service, one, self.standing(one.life))
+    def _rate_limit_target(
+        self, service: Service, endpoint: Endpoint
+    ) -> RateLimitTarget:
+        return RateLimitTarget(
+            service, endpoint, self.stats_of(endpoint.incarnation_id)
+        )
 
-    def _bears(self, service: Service, one: Listed, now: float) -> bool:
+    def _is_within_warmup_rate(
+        self, service: Service, endpoint: Endpoint, now: float
+    ) -> bool:
         """Tell whether one more call is this entry's part, if it is cold."""
         per_s = service.cold_per_s
-        if not per_s or not self._directory.is_cold(one, now):
+        if not per_s or not self._directory.is_cold(endpoint, now):
             return True
-        return self._gate.opens(one.life, per_s, now)
+        return self._warmup_limiter.may_send(
+            endpoint.incarnation_id, per_s, now
+        )
 
-    def _serves(self, need: Need, one: Listed, now: float) -> bool:
-        version = self._version(need, one)
-        if version < self._least_there(need, one, now):
+    def _serves_version(
+        self, requirements: Requirements, endpoint: Endpoint, now: float
+    ) -> bool:
+        version = self._version(requirements, endpoint)
+        if version < self._min_version_on_arrival(requirements, endpoint, now):
             return False
-        if need.exact_version and version != need.exact_version:
+        if requirements.exact_version and version != requirements.exact_version:
             return False
-        return version >= max(1, need.least_version)
+        return version >= max(1, requirements.min_version)
 
-    def _least_there(self, need: Need, one: Listed, now: float) -> int:
+    def _min_version_on_arrival(
+        self, requirements: Requirements, endpoint: Endpoint, now: float
+    ) -> int:
         """Give the oldest version for which a call comes there in time.
 
         On a slow way a call has to be sent earlier by so much. On the usual
         way the need itself says what is due.
         """
-        slow_s = self.standing(one.life).slow_s(now)
-        if not slow_s:
+        extra_delay_s = self.stats_of(
+            endpoint.incarnation_id
+        ).extra_link_delay_s(now)
+        if not extra_delay_s:
             return 0
         return max(
-            (version for version, at in need.closing if at <= now + slow_s),
+            (
+                version
+                for version, due_at in requirements.version_deadlines
+                if due_at <= now + extra_delay_s
+            ),
             default=0,
         )
 
-    def _version(self, need: Need, one: Listed) -> int:
-        if not need.model:
+    def _version(self, requirements: Requirements, endpoint: Endpoint) -> int:
+        if not requirements.model:
             return 0
-        version = one.versions.get(need.model, 0)
-        report = self.standing(one.life).report
+        version = endpoint.versions.get(requirements.model, 0)
+        report = self.stats_of(endpoint.incarnation_id).report
         if report is not None:
             version = max(version, report.serving)
         return version
 
-    def _penalty(self, one: Listed, now: float) -> float:
-        standing = self.standing(one.life)
-        penalty = standing.failing * _FAILING_S
-        penalty += self._directory.cold_left_s(one, now)
-        if standing.shunned_until > now:
-            penalty += _SHUNNED_S
-        if standing.silent(now):
-            penalty += _SUSPECT_S
-        report = standing.report
+    def _penalty_s(self, endpoint: Endpoint, now: float) -> float:
+        stats = self.stats_of(endpoint.incarnation_id)
+        penalty_s = stats.failure_rate * _FAILURE_PENALTY_S
+        penalty_s += self._directory.cold_left_s(endpoint, now)
+        if stats.backoff_until > now:
+            penalty_s += _BACKOFF_PENALTY_S
+        if stats.is_overdue(now):
+            penalty_s += _OVERDUE_PENALTY_S
+        report = stats.report
         if report is not None and report.changing:
-            penalty += _CHANGING_S
-        return penalty
+            penalty_s += _VERSION_CHANGE_PENALTY_S
+        return penalty_s
 
 
-def _one_entry() -> int:
+def _count_self() -> int:
     return 1
 
 
-def _sooner(one: Choice | None, other: Choice | None) -> Choice | None:
-    if one is None or other is None:
-        return one or other
-    return min(one, other, key=lambda choice: (choice.reporting, choice.wait_s))
+def _better(first: Choice | None, second: Choice | None) -> Choice | None:
+    if first is None or second is None:
+        return first or second
+    return min(
+        first, second, key=lambda choice: (choice.reporting, choice.wait_s)
+    )
 
 
-def _will_do(choice: Choice, need: Need) -> bool:
-    return not choice.reporting and choice.wait_s <= need.enough_s
+def _is_good_enough(choice: Choice, requirements: Requirements) -> bool:
+    return (
+        not choice.reporting and choice.wait_s <= requirements.acceptable_wait_s
+    )
--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -37,7 +37,7 @@
 FORGOTTEN_S = 600.0
 # As many as 250 endpoints leave that crash with 16 calls each; the oldest go.
 _MOST_KEPT = 4096
-_LIFE_BYTES = 8
+_INCARNATION_BYTES = 8
 # What everybody sends is answered at least once in so many calls.
 _MOST_ANSWERED = 1024
 
@@ -46,12 +46,14 @@
     """One life of an endpoint that ended under calls that are alike."""
 
     likeness: str
-    life: str
+    incarnation_id: str
 
 
-def life_digest(life: str) -> str:
+def incarnation_digest(incarnation_id: str) -> str:
     """Give a short name of a life, whatever the length of its own."""
-    digest = hashlib.blake2b(life.encode(), digest_size=_LIFE_BYTES)
+    digest = hashlib.blake2b(
+        incarnation_id.encode(), digest_size=_INCARNATION_BYTES
+    )
     return digest.hexdigest()
 
 
@@ -128,22 +130,22 @@
         self._suspects[end.likeness] = suspect
         while len(self._suspects) > _MOST_KEPT:
             self._suspects.pop(next(iter(self._suspects)))
-        news = end.life not in suspect.ended_at
+        news = end.incarnation_id not in suspect.ended_at
         if news:
             # What was tried has ended, here or at another entry.
             suspect.tried_until = float()
-        known_at = suspect.ended_at.get(end.life, at)
-        suspect.ended_at[end.life] = min(known_at, at)
+        known_at = suspect.ended_at.get(end.incarnation_id, at)
+        suspect.ended_at[end.incarnation_id] = min(known_at, at)
         if shared:
-            suspect.shared.add(end.life)
+            suspect.shared.add(end.incarnation_id)
         return news
 
     def withdrawn(self, end: End) -> None:
         """Take in that an end counts no more for all entries."""
         suspect = self._suspects.get(end.likeness)
         if suspect is not None:
-            suspect.ended_at.pop(end.life, None)
-            suspect.shared.discard(end.life)
+            suspect.ended_at.pop(end.incarnation_id, None)
+            suspect.shared.discard(end.incarnation_id)
             self._drop_if_clear(end.likeness, suspect)
 
     def replaced(self, ends: Iterable[tuple[End, float]]) -> None:
@@ -164,14 +166,16 @@
         suspect = self._suspects.pop(likeness, None)
         if suspect is None:
             return []
-        return [End(likeness, life) for life in suspect.ended_at]
+        return [
+            End(likeness, incarnation_id) for incarnation_id in suspect.ended_at
+        ]
 
     def expire(self, now: float) -> None:
         """Forget what ended too long ago."""
         for likeness, suspect in tuple(self._suspects.items()):
             suspect.ended_at = {
-                life: at
-                for life, at in suspect.ended_at.items()
+                incarnation_id: at
+                for incarnation_id, at in suspect.ended_at.items()
                 if now - at < FORGOTTEN_S
             }
             self._drop_if_clear(likeness, suspect)
@@ -182,5 +186,5 @@
 
     def _all_shared(self) -> Iterator[End]:
         for likeness, suspect in self._suspects.items():
-            for life in suspect.shared:
-                yield End(likeness, life)
+            for incarnation_id in suspect.shared:
+                yield End(likeness, incarnation_id)
--- a/src/linnetwood/calls/crashtelling.py
+++ b/src/linnetwood/calls/crashtelling.py
@@ -135,7 +135,7 @@
             await asyncio.sleep(self._rng.uniform(first_s, spread_s))
 
     def _spread_s(self) -> float:
-        if len({end.life for end in self._share}) <= 1:
+        if len({end.incarnation_id for end in self._share}) <= 1:
             return 0
         return min(_SPREAD_MOST_S, self._entries() / _CALLS_PER_S)
 
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -9,8 +9,8 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from linnetwood.calls.crashes import Crashes, End, life_digest
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.crashes import Crashes, End, incarnation_digest
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.core.clock import Clock
 from linnetwood.core.events import Event, log
 
@@ -34,7 +34,7 @@
 class Ends(Protocol):
     """What a dispatcher tells of the calls that it runs."""
 
-    def lost(self, likeness: str, one: Listed, heard_s: float) -> None:
+    def lost(self, likeness: str, one: Endpoint, heard_s: float) -> None:
         """Note that an answer broke off; events had come for so long."""
 
     def answered(self, likeness: str) -> None:
@@ -47,7 +47,7 @@
 class Unwatched:
     """Suspect nobody."""
 
-    def lost(self, likeness: str, one: Listed, heard_s: float) -> None:
+    def lost(self, likeness: str, one: Endpoint, heard_s: float) -> None:
         """Note nothing."""
 
     def answered(self, likeness: str) -> None:
@@ -95,20 +95,20 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def lost(self, likeness: str, one: Listed, heard_s: float) -> None:
+    def lost(self, likeness: str, one: Endpoint, heard_s: float) -> None:
         """Suspect a call, until it is known why its answer broke off."""
         if not likeness or heard_s >= _RUNNING_WELL_S:
             return
-        listed = self._directory.get(one.endpoint)
+        listed = self._directory.get(one.endpoint_id)
         if listed is None or not listed.ready:
             # Its end was told beforehand.
             return
-        suspects = self._suspects.setdefault(one.life, {})
+        suspects = self._suspects.setdefault(one.incarnation_id, {})
         if len(suspects) < _MOST_SUSPECTS:
             suspects[likeness] = self._clock.now()
-        if one.life not in self._looking:
+        if one.incarnation_id not in self._looking:
             task = asyncio.create_task(self._look(one))
-            self._looking[one.life] = task
+            self._looking[one.incarnation_id] = task
 
     def answered(self, likeness: str) -> None:
         """Clear calls like this one, here and for all entries."""
@@ -123,18 +123,18 @@
         """Tell whether a call may be sent to a second endpoint."""
         return self._crashes.may_go_again(likeness)
 
-    async def _look(self, one: Listed) -> None:
+    async def _look(self, one: Endpoint) -> None:
         try:
             why = await self._why_lost(one)
-            while why and self._suspects.get(one.life):
+            while why and self._suspects.get(one.incarnation_id):
                 self._note(one, why)
                 # Other answers break off within milliseconds of the first.
                 await asyncio.sleep(_BACK_LOOK_S)
         finally:
-            self._suspects.pop(one.life, None)
-            self._looking.pop(one.life, None)
+            self._suspects.pop(one.incarnation_id, None)
+            self._looking.pop(one.incarnation_id, None)
 
-    async def _why_lost(self, one: Listed) -> str:
+    async def _why_lost(self, one: Endpoint) -> str:
         """Give what shows that the life has ended, or nothing."""
         for pause_s in _LOOKS_S:
             await asyncio.sleep(pause_s)
@@ -146,17 +146,20 @@
             await asyncio.sleep(_BACK_LOOK_S)
         return ''
 
-    def _is_another(self, one: Listed) -> bool:
+    def _is_another(self, one: Endpoint) -> bool:
         there = self._directory.at_host(one.host)
         if there is None or there.port != one.port:
             return False
-        return there.life != one.life and there.service == one.service
+        return (
+            there.incarnation_id != one.incarnation_id
+            and there.service == one.service
+        )
 
-    def _note(self, one: Listed, why: str) -> None:
-        suspects = self._suspects[one.life]
+    def _note(self, one: Endpoint, why: str) -> None:
+        suspects = self._suspects[one.incarnation_id]
         log(
             Event.ENDPOINT_CRASHED,
-            endpoint=one.endpoint,
+            endpoint=one.endpoint_id,
             born=one.born,
             service=one.service,
             why=why,
@@ -164,7 +167,7 @@
             likenesses=list(suspects)[:_SHOWN],
         )
         self._crashes.expire(self._clock.now())
-        digest = life_digest(one.life)
+        digest = incarnation_digest(one.incarnation_id)
         for likeness, at in suspects.items():
             end = End(likeness, digest)
             if self._crashes.ended(end, at):
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -21,18 +21,18 @@
     How,
     Relay,
 )
-from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.choice import Choice, Chooser, Requirements
 from linnetwood.calls.crashwatch import Ends, Unwatched
 from linnetwood.calls.dialect import CallHead, Dialect, Errand, Urgency
-from linnetwood.calls.directory import Listed
+from linnetwood.calls.directory import Endpoint
 from linnetwood.calls.grounds import Grounds
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.patience import Silence
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
 from linnetwood.calls.retries import SHARE, RetryBudget
-from linnetwood.calls.reach import ANYWHERE, Reach
+from linnetwood.calls.regionscope import ANY_REGION, RegionScope
 from linnetwood.calls.routebook import Organisation, Repeat, Route, Service
-from linnetwood.calls.standing import Standing
+from linnetwood.calls.endpointstats import EndpointStats
 from linnetwood.core.metrics import Metrics
 from linnetwood.core.outcomes import (
     ANSWERED,
@@ -76,7 +76,7 @@
     arrived: float
     until: float
     grounds: Grounds = Grounds()
-    reach: Reach = ANYWHERE
+    region_scope: RegionScope = ANY_REGION
     # What it shares with calls that ask the same; nothing where unknown.
     likeness: str = ''
 
@@ -94,7 +94,7 @@
     reserve: float = 4
 
 
-def _tell_nobody(one: Listed, now: float) -> None:
+def _tell_nobody(one: Endpoint, now: float) -> None:
     """Keep to itself what an endpoint says."""
 
 
@@ -115,7 +115,7 @@
         self.retry_bounds = RetryBounds()
         self.ends: Ends = Unwatched()
         # Told of each endpoint that has said something of itself just now.
-        self.noticed: Callable[[Listed, float], None] = _tell_nobody
+        self.noticed: Callable[[Endpoint, float], None] = _tell_nobody
         self._budgets: dict[str, RetryBudget] = {}
         self._new_lateness = lateness
         self._lateness: dict[str, Lateness] = {}
@@ -127,19 +127,19 @@
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
-    def need(self, call: DirectCall) -> Need:
+    def requirements(self, call: DirectCall) -> Requirements:
         """Say what the call asks of an endpoint."""
         model = call.head.model if call.service.engine else ''
-        return Need(
+        return Requirements(
             call.service,
             self._zone,
             call.head.prompt,
             model,
             self._wanted.least(model, self._loop.time()) if model else 0,
-            closing=self._wanted.closing(model),
-            enough_s=self._enough_s(call),
-            reach=call.reach,
-            lot=place_hash(call.head.call_id),
+            version_deadlines=self._wanted.closing(model),
+            acceptable_wait_s=self._enough_s(call),
+            region_scope=call.region_scope,
+            sample_number=place_hash(call.head.call_id),
         )
 
     async def run(
@@ -156,17 +156,19 @@
         while True:
             now = self._loop.time()
             # One answer comes of one version, also when it is resumed.
-            need = dataclasses.replace(
-                self.need(call),
+            requirements = dataclasses.replace(
+                self.requirements(call),
                 exact_version=relay.version,
                 urgent=urgency is Urgency.IN_TIME,
             )
-            choice = self._chooser.choose(need, progress.tried, now)
+            choice = self._chooser.choose(requirements, progress.tried, now)
             if choice is None:
-                limited_s = self._chooser.limited_s(need, now)
-                return progress.unplaced(relay, limited_s)
-            end = await self._attempt(call, need, choice, relay, urgency)
-            progress.note(choice.endpoint.life, end)
+                rate_limited_s = self._chooser.rate_limited_s(requirements, now)
+                return progress.unplaced(relay, rate_limited_s)
+            end = await self._attempt(
+                call, requirements, choice, relay, urgency
+            )
+            progress.note(choice.endpoint.incarnation_id, end)
             if end.how is How.ANSWERED:
                 self._deliver(relay, end)
                 return ANSWERED
@@ -178,7 +180,7 @@
         """Give the wait that may be predicted for a call that is in time."""
         target_s = call.route.target_s
         lateness = self._lateness_of(call.service.name)
-        return target_s - lateness.allowed_s(target_s, self._loop.time())
+        return target_s - lateness.margin_s(target_s, self._loop.time())
 
     def _lateness_of(self, service: str) -> Lateness:
         found = self._lateness.get(service)
@@ -200,7 +202,7 @@
     async def _attempt(
         self,
         call: DirectCall,
-        need: Need,
+        requirements: Requirements,
         choice: Choice,
         relay: Relay,
         urgency: Urgency,
@@ -217,22 +219,22 @@
             streams=call.route.streams,
             clock_now=now,
         )
-        errand = self._errand(call, need, choice, relay, urgency)
-        standing = self._chooser.standing(choice.endpoint.life)
+        errand = self._errand(call, requirements, choice, relay, urgency)
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
         sending = Sending(
             call.head.call_id,
             call.likeness,
             call.route,
             choice,
             urgency,
-            believed(standing, now),
+            believed(stats, now),
             now,
             call.grounds,
             call.head.prompt,
         )
-        standing.sent()
-        self._chooser.sent(call.service, choice.endpoint, now)
-        waiting = _Waiting(standing, urgency)
+        stats.record_sent()
+        self._chooser.record_sent(call.service, choice.endpoint, now)
+        waiting = _Waiting(stats, urgency)
         attempt.started = functools.partial(
             self._begun,
             call,
@@ -248,7 +250,7 @@
             )
         finally:
             waiting.over()
-            standing.ended()
+            stats.record_ended()
         self._learn(call.service, sending, attempt, end)
         self._tell_end(call, choice, attempt, end)
         if end.how is How.STALLED and not attempt.first_heard:
@@ -260,14 +262,14 @@
     def _errand(
         self,
         call: DirectCall,
-        need: Need,
+        requirements: Requirements,
         choice: Choice,
         relay: Relay,
         urgency: Urgency,
     ) -> Errand:
-        bound = bool(need.least_version or need.exact_version)
+        bound = bool(requirements.min_version or requirements.exact_version)
         return Errand(
-            choice.endpoint.endpoint,
+            choice.endpoint.endpoint_id,
             call.until - self._loop.time(),
             call.organisation.name if call.organisation else '',
             choice.version if bound else 0,
@@ -302,8 +304,8 @@
         if choice.version and call.repeatable:
             start_by = self._wanted.start_by(call.head.model, choice.version)
             # What takes it back must arrive before the bound as well.
-            standing = self._chooser.standing(choice.endpoint.life)
-            start_by -= standing.slow_s(self._loop.time())
+            stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+            start_by -= stats.extra_link_delay_s(self._loop.time())
         if not call.route.streams or call.route.repeat is not Repeat.RESUME:
             return Bounds(call.until, start_by, math.inf, math.inf)
         silence = Silence.of(call.route)
@@ -315,7 +317,9 @@
 
     def _may_begin(self, choice: Choice, bounds: Bounds, now: float) -> bool:
         """Tell whether it has time there before it is taken back."""
-        slow_s = self._chooser.standing(choice.endpoint.life).slow_s(now)
+        slow_s = self._chooser.stats_of(
+            choice.endpoint.incarnation_id
+        ).extra_link_delay_s(now)
         left_s = bounds.start_by - now - slow_s
         return not slow_s or left_s >= _BEGIN_S
 
@@ -334,15 +338,15 @@
         one = sending.choice.endpoint
         now = self._loop.time()
         notices = self._chooser.notices
-        if notices.heard(one.life, notice, now):
-            known = notices.of(one.life)
-            tell_notice(one, known, sending.call_id, notice.rest_s)
+        if notices.record(one.incarnation_id, notice, now):
+            known = notices.latest(one.incarnation_id)
+            tell_notice(one, known, sending.call_id, notice.retry_after_s)
         self.noticed(one, now)
 
     def _note_begun(self, sending: Sending) -> None:
-        standing = self._chooser.standing(sending.choice.endpoint.life)
+        stats = self._chooser.stats_of(sending.choice.endpoint.incarnation_id)
         waited_s = self._loop.time() - sending.at
-        standing.began(sending.at, waited_s - sending.choice.wait_s)
+        stats.record_start(sending.at, waited_s - sending.choice.wait_s)
 
     def _learn_wait(self, call: DirectCall, sending: Sending) -> None:
         """Compare how long an admitted call waited with what was predicted."""
@@ -350,7 +354,7 @@
             return
         now = self._loop.time()
         lateness = self._lateness_of(call.service.name)
-        lateness.seen(sending.choice.wait_s, now - sending.at, now)
+        lateness.record(sending.choice.wait_s, now - sending.at, now)
 
     def _learn(
         self,
@@ -360,17 +364,17 @@
         end: AttemptEnd,
     ) -> None:
         choice = sending.choice
-        standing = self._chooser.standing(choice.endpoint.life)
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
         if end.how is How.ANSWERED:
-            standing.answered()
+            stats.record_success()
             if not attempt.first_heard:
                 self._note_begun(sending)
         elif not end.reached or end.how is How.STALLED:
             now = self._loop.time()
-            standing.unreachable(now)
-            self._chooser.lost(service, choice.endpoint, now)
+            stats.record_unreachable(now)
+            self._chooser.record_unreachable(service, choice.endpoint, now)
         elif end.how in {How.FAILED, How.LOST}:
-            standing.failed()
+            stats.record_failure()
 
     def _tell_end(
         self,
@@ -431,24 +435,24 @@
 class _Waiting:
     """Count a call among those that wait at an endpoint until it begins."""
 
-    __slots__ = ('_standing', '_urgency')
+    __slots__ = ('_stats', '_urgency')
 
-    def __init__(self, standing: Standing, urgency: Urgency) -> None:
-        self._standing: Standing | None = standing
+    def __init__(self, stats: EndpointStats, urgency: Urgency) -> None:
+        self._stats: EndpointStats | None = stats
         self._urgency = urgency
-        self._count(standing, 1)
+        self._count(stats, 1)
 
     def over(self) -> None:
-        standing = self._standing
-        if standing is not None:
-            self._standing = None
-            self._count(standing, -1)
+        stats = self._stats
+        if stats is not None:
+            self._stats = None
+            self._count(stats, -1)
 
-    def _count(self, standing: Standing, change: int) -> None:
+    def _count(self, stats: EndpointStats, change: int) -> None:
         if self._urgency is Urgency.LATE:
-            standing.late_waiting += change
+            stats.late_waiting += change
         else:
-            standing.urgent_waiting += change
+            stats.urgent_waiting += change
 
 
 class _Progress:
@@ -461,18 +465,20 @@
         self.reached = 0
         self.may_have_run = False
 
-    def note(self, life: str, end: AttemptEnd) -> None:
-        self.tried.add(life)
+    def note(self, incarnation_id: str, end: AttemptEnd) -> None:
+        self.tried.add(incarnation_id)
         self.reached += end.reached
         if end.how is not How.NOT_RUN:
             self.may_have_run = True
 
-    def unplaced(self, relay: Relay, limited_s: float) -> Ending:
+    def unplaced(self, relay: Relay, rate_limited_s: float) -> Ending:
         """End a call that no endpoint takes, or none before some seconds."""
         ending = self.ending(relay, Code.NO_ENDPOINT)
-        if ending.outcome is not Outcome.NOT_RUN or not limited_s:
+        if ending.outcome is not Outcome.NOT_RUN or not rate_limited_s:
             return ending
-        after_ms = max(_RETRY_AFTER_MS, math.ceil(limited_s * _MILLISECONDS))
+        after_ms = max(
+            _RETRY_AFTER_MS, math.ceil(rate_limited_s * _MILLISECONDS)
+        )
         return not_run(Code.NO_ENDPOINT, 'limited', after_ms)
 
     def ending(self, relay: Relay, code: Code, detail: str = '') -> Ending:
--- a/src/linnetwood/calls/directory.py
+++ b/src/linnetwood/calls/directory.py
@@ -5,23 +5,23 @@
 import zlib
 from collections.abc import Iterator, Mapping
 
-from linnetwood.calls.coldgate import UNTOLD_S
+from linnetwood.calls.warmuplimiter import ASSUMED_COLD_S
 
 # A list that was away may have dropped entries of endpoints that live; they
 # are written again within about two seconds of its return. An endpoint that
 # left meanwhile may get nothing two seconds after that was acknowledged.
-HELD_AFTER_OUTAGE_S = 1.4
+KEPT_AFTER_OUTAGE_S = 1.4
 # An outage ends some time before this process notices it.
-_OUTAGE_SEEN_S = 3.0
+_OUTAGE_DETECTION_S = 3.0
 # As many ids as a fleet of 600 endpoints has in days of restarts.
-_BORN_KEPT = 4096
+_MAX_BORN_TIMES = 4096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Listed:
+class Endpoint:
     """One endpoint as the platform lists it."""
 
-    endpoint: str
+    endpoint_id: str
     service: str
     host: str
     port: int
@@ -35,17 +35,19 @@
     region: str = ''
 
     @property
-    def life(self) -> str:
+    def incarnation_id(self) -> str:
         """Name this life of the endpoint: it may start again under its id.
 
         What is learned of an endpoint is kept by this name.
         """
-        return f'{self.endpoint}@{self.born}' if self.born else self.endpoint
+        return (
+            f'{self.endpoint_id}@{self.born}' if self.born else self.endpoint_id
+        )
 
     @property
-    def life_mark(self) -> int:
+    def incarnation_mark(self) -> int:
         """Give a short mark of this life, to tell it from others there."""
-        return zlib.crc32(self.life.encode())
+        return zlib.crc32(self.incarnation_id.encode())
 
 
 class Directory:
@@ -54,150 +56,166 @@
     def __init__(self) -> None:
         """Know nobody."""
         # Grows whenever the list changes: what was derived of it is then old.
-        self.changes = 0
-        self._listed: dict[str, Listed] = {}
-        self._by_service: dict[str, dict[str, Listed]] = {}
+        self.change_count = 0
+        self._endpoints: dict[str, Endpoint] = {}
+        self._by_service: dict[str, dict[str, Endpoint]] = {}
         self._by_host: dict[str, str] = {}
-        self._doubted: dict[str, float] = {}
+        self._removal_due_at: dict[str, float] = {}
         # Zones to whose endpoints nothing goes, and since when others are back.
         self.evacuated: frozenset[str] = frozenset()
-        self._back_at: dict[str, float] = {}
+        self._evacuation_ended_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
-        self._outage_at = -_OUTAGE_SEEN_S
+        self._outage_at = -_OUTAGE_DETECTION_S
         # Of the newest life of each endpoint that tells it, also of those that
         # have gone: an entry of an older one may still arrive.
-        self._born: dict[str, int] = {}
+        self._latest_born: dict[str, int] = {}
 
     def evacuate(self, zones: frozenset[str], now: float) -> None:
         """Take in which zones are to be left alone from now on."""
         if zones == self.evacuated:
             return
         for zone in self.evacuated - zones:
-            self._back_at[zone] = now
+            self._evacuation_ended_at[zone] = now
         self.evacuated = zones
-        self.changes += 1
+        self.change_count += 1
 
-    def cold(self, life: str, until: float) -> None:
+    def mark_cold(self, incarnation_id: str, until: float) -> None:
         """Note until when one life is cold, as far as is known."""
-        self._cold_until[life] = until
+        self._cold_until[incarnation_id] = until
 
-    def cold_left_s(self, one: Listed, now: float) -> float:
+    def cold_left_s(self, endpoint: Endpoint, now: float) -> float:
         """Give for how long an endpoint is cold yet, as far as is known."""
-        return max(0, self._cold_until.get(one.life, now) - now)
+        return max(0, self._cold_until.get(endpoint.incarnation_id, now) - now)
 
-    def is_cold(self, one: Listed, now: float) -> bool:
+    def is_cold(self, endpoint: Endpoint, now: float) -> bool:
         """Tell whether an endpoint is cold, or may be and has not told yet."""
-        back_at = self._back_at.get(one.zone, -math.inf)
-        until = self._cold_until.get(one.life, -math.inf)
-        return now < max(until, back_at + UNTOLD_S)
+        back_at = self._evacuation_ended_at.get(endpoint.zone, -math.inf)
+        until = self._cold_until.get(endpoint.incarnation_id, -math.inf)
+        return now < max(until, back_at + ASSUMED_COLD_S)
 
-    def listed(self, one: Listed) -> None:
+    def update(self, endpoint: Endpoint) -> None:
         """Take in a new or changed entry; one of an older life is none."""
-        if one.born:
-            if one.born < self._born.get(one.endpoint, 0):
+        if endpoint.born:
+            if endpoint.born < self._latest_born.get(endpoint.endpoint_id, 0):
                 return
-            self._note_born(one)
-        self.changes += 1
-        known = self._listed.get(one.endpoint)
+            self._record_born(endpoint)
+        self.change_count += 1
+        known = self._endpoints.get(endpoint.endpoint_id)
         if known is not None:
-            self._leave(known)
-        self._listed[one.endpoint] = one
-        self._by_service.setdefault(one.service, {})[one.endpoint] = one
-        self._by_host[one.host] = one.endpoint
-        self._doubted.pop(one.endpoint, None)
-
-    def left(self, endpoint: str) -> None:
+            self._remove_from_indexes(known)
+        self._endpoints[endpoint.endpoint_id] = endpoint
+        self._by_service.setdefault(endpoint.service, {})[
+            endpoint.endpoint_id
+        ] = endpoint
+        self._by_host[endpoint.host] = endpoint.endpoint_id
+        self._removal_due_at.pop(endpoint.endpoint_id, None)
+
+    def mark_superseded(self, endpoint_id: str) -> None:
         """Take in that a later life stands at an endpoint's address.
 
         Nothing more goes there until the list tells of the endpoint again: who
         it is now, and what it holds, is not known.
         """
-        known = self._listed.get(endpoint)
+        known = self._endpoints.get(endpoint_id)
         if known is not None and known.ready:
-            self.listed(dataclasses.replace(known, ready=False))
+            self.update(dataclasses.replace(known, ready=False))
 
-    def spoilt(self, endpoint: str) -> None:
+    def discard(self, endpoint_id: str) -> None:
         """Take in that an entry can't be read: it names nobody to use."""
-        self._forget(endpoint)
+        self._remove(endpoint_id)
 
-    def dropped(self, endpoint: str, now: float) -> None:
+    def mark_removed(self, endpoint_id: str, now: float) -> None:
         """Take in that an entry is gone; keep it a while after an outage."""
-        if endpoint not in self._listed:
+        if endpoint_id not in self._endpoints:
             return
-        if now - self._outage_at < _OUTAGE_SEEN_S:
-            self._doubted.setdefault(endpoint, now + HELD_AFTER_OUTAGE_S)
+        if now - self._outage_at < _OUTAGE_DETECTION_S:
+            self._removal_due_at.setdefault(
+                endpoint_id, now + KEPT_AFTER_OUTAGE_S
+            )
         else:
-            self._forget(endpoint)
+            self._remove(endpoint_id)
 
-    def replaced(self, fresh: Mapping[str, Listed], now: float) -> None:
+    def replace_all(self, listed: Mapping[str, Endpoint], now: float) -> None:
         """Take in a whole list."""
-        missing = set(self._listed) - set(fresh)
-        for endpoint in missing:
-            self.dropped(endpoint, now)
-        for one in fresh.values():
-            self.listed(one)
+        missing = set(self._endpoints) - set(listed)
+        for endpoint_id in missing:
+            self.mark_removed(endpoint_id, now)
+        for endpoint in listed.values():
+            self.update(endpoint)
 
-    def list_away(self, now: float) -> None:
+    def note_outage(self, now: float) -> None:
         """Note that the list could not be read just now."""
         self._outage_at = now
 
     def expire(self, now: float) -> None:
         """Forget the doubted entries whose time is over."""
         self._cold_until = {
-            life: until
-            for life, until in self._cold_until.items()
+            incarnation_id: until
+            for incarnation_id, until in self._cold_until.items()
             if until > now
         }
-        late = [name for name, until in self._doubted.items() if until <= now]
-        for endpoint in late:
-            self._forget(endpoint)
-
-    def get(self, endpoint: str) -> Listed | None:
+        overdue = [
+            endpoint_id
+            for endpoint_id, until in self._removal_due_at.items()
+            if until <= now
+        ]
+        for endpoint_id in overdue:
+            self._remove(endpoint_id)
+
+    def get(self, endpoint_id: str) -> Endpoint | None:
         """Give one entry."""
-        return self._listed.get(endpoint)
+        return self._endpoints.get(endpoint_id)
 
-    def all(self) -> Iterator[Listed]:
+    def all(self) -> Iterator[Endpoint]:
         """Yield every entry."""
-        yield from self._listed.values()
+        yield from self._endpoints.values()
 
-    def lives(self) -> set[str]:
+    def incarnation_ids(self) -> set[str]:
         """Give the names of the lives that are listed."""
-        return {one.life for one in self._listed.values()}
+        return {
+            endpoint.incarnation_id for endpoint in self._endpoints.values()
+        }
 
-    def at_host(self, host: str) -> Listed | None:
+    def at_host(self, host: str) -> Endpoint | None:
         """Give the entry that was listed last at a host."""
-        return self._listed.get(self._by_host.get(host, ''))
+        return self._endpoints.get(self._by_host.get(host, ''))
 
-    def of_service(self, service: str) -> Iterator[Listed]:
+    def of_service(self, service: str) -> Iterator[Endpoint]:
         """Yield every entry of a service."""
         yield from self._by_service.get(service, {}).values()
 
-    def takes(self, one: Listed, now: float) -> bool:
+    def is_eligible(self, endpoint: Endpoint, now: float) -> bool:
         """Tell whether an endpoint takes new work."""
-        ready = one.ready and one.zone not in self.evacuated
-        return ready and now < self._doubted.get(one.endpoint, math.inf)
+        ready = endpoint.ready and endpoint.zone not in self.evacuated
+        return ready and now < self._removal_due_at.get(
+            endpoint.endpoint_id, math.inf
+        )
 
-    def ready(self, service: str, now: float) -> list[Listed]:
+    def eligible(self, service: str, now: float) -> list[Endpoint]:
         """Give the endpoints of a service that take new work."""
-        listed = self.of_service(service)
-        return [one for one in listed if self.takes(one, now)]
-
-    def _forget(self, endpoint: str) -> None:
-        self._doubted.pop(endpoint, None)
-        one = self._listed.pop(endpoint, None)
-        if one is None:
+        endpoints = self.of_service(service)
+        return [
+            endpoint
+            for endpoint in endpoints
+            if self.is_eligible(endpoint, now)
+        ]
+
+    def _remove(self, endpoint_id: str) -> None:
+        self._removal_due_at.pop(endpoint_id, None)
+        endpoint = self._endpoints.pop(endpoint_id, None)
+        if endpoint is None:
             return
-        self.changes += 1
-        self._leave(one)
+        self.change_count += 1
+        self._remove_from_indexes(endpoint)
 
-    def _leave(self, one: Listed) -> None:
+    def _remove_from_indexes(self, endpoint: Endpoint) -> None:
         """Take an entry out of the tables; its address may be another's now."""
-        self._by_service[one.service].pop(one.endpoint)
-        if self._by_host.get(one.host) == one.endpoint:
-            self._by_host.pop(one.host)
-
-    def _note_born(self, one: Listed) -> None:
-        self._born.pop(one.endpoint, None)
-        self._born[one.endpoint] = one.born
-        while len(self._born) > _BORN_KEPT:
-            self._born.pop(next(iter(self._born)))
+        self._by_service[endpoint.service].pop(endpoint.endpoint_id)
+        if self._by_host.get(endpoint.host) == endpoint.endpoint_id:
+            self._by_host.pop(endpoint.host)
+
+    def _record_born(self, endpoint: Endpoint) -> None:
+        self._latest_born.pop(endpoint.endpoint_id, None)
+        self._latest_born[endpoint.endpoint_id] = endpoint.born
+        while len(self._latest_born) > _MAX_BORN_TIMES:
+            self._latest_born.pop(next(iter(self._latest_born)))
--- a/src/linnetwood/calls/dispatch.py
+++ b/src/linnetwood/calls/dispatch.py
@@ -7,7 +7,7 @@
 
 from linnetwood.calls import keys
 from linnetwood.calls.retries import MAX_ATTEMPTS, RetryBudget, may_retry
-from linnetwood.calls.routing import Routes, Want
+from linnetwood.calls.routing import Routes, EndpointQuery
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import CodecError, WireError
 from linnetwood.core.metrics import Metric, Metrics
@@ -39,7 +39,7 @@
     """
 
     call_id: str
-    want: Want
+    query: EndpointQuery
     target: str
     method: str
     path: str
@@ -97,11 +97,11 @@
     async def run(self, call: Call, sink: AnswerSink) -> Ending:
         """Run a call and say how it ended."""
         self._budget.earn()
-        self._ask_load(call.want)
+        self._ask_load(call.query)
         tried: set[str] = set()
         endings: list[Ending] = []
         for _ in range(MAX_ATTEMPTS):
-            member = self._routes.choose(call.want, tried, self._clock.now())
+            member = self._routes.choose(call.query, tried, self._clock.now())
             if member is None:
                 break
             tried.add(member.vm)
@@ -111,8 +111,8 @@
                 break
         return conclude(endings) if endings else self._nobody(call)
 
-    def _ask_load(self, want: Want) -> None:
-        member = self._routes.sample(want) if self._probe else None
+    def _ask_load(self, query: EndpointQuery) -> None:
+        member = self._routes.sample(query) if self._probe else None
         if member is not None and self._probe is not None:
             self._probe(member)
 
@@ -133,7 +133,7 @@
         if call.key:
             # An earlier attempt under this key may have run at its owner.
             return unknown(Code.KEY_OTHER_OWNER, call.key)
-        if not self._routes.knows(call.want):
+        if not self._routes.knows(call.query):
             return not_run(Code.UNKNOWN_TARGET, call.target)
         return not_run(Code.NO_ENDPOINT, call.target)
 
@@ -141,7 +141,7 @@
         key = call.key
         if call.at_most_once and not key:
             key = mint(member, call.call_id)
-        return _Attempt(key, member.serving if call.want.model else '')
+        return _Attempt(key, member.serving if call.query.model else '')
 
     async def _try(
         self,
@@ -300,4 +300,4 @@
 def _own(head: Head, call: Call, attempt: _Attempt) -> bool:
     if head.call_id != call.call_id:
         return False
-    return not call.want.model or head.version == attempt.version
+    return not call.query.model or head.version == attempt.version
--- a/src/linnetwood/calls/engine.py
+++ b/src/linnetwood/calls/engine.py
@@ -12,22 +12,22 @@
 _THOUSAND = 1000
 # A call waits for the pass under way, is read in the next, and its first event
 # goes out when that has played its steps.
-_PASSES_TO_FIRST = 2.5
+_PASSES_TO_FIRST_TOKEN = 2.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineFigures:
+class EngineProfile:
     """What the operators state of an engine; times in seconds."""
 
     slots: int
     step_s: float
-    per_call_s: float
-    context_s_per_k: float
-    read_per_s: float
-    pairs_s_per_m: float
-    stride: int
-    usual_prompt: int
-    usual_answer: int
+    step_s_per_call: float
+    step_s_per_k_context: float
+    prefill_tokens_per_s: float
+    attention_s_per_m_pairs: float
+    steps_per_pass: int
+    typical_prompt_tokens: int
+    typical_answer_tokens: int
     kv_tokens: int
     models: tuple[str, ...] = ()
     layers: int = 1
@@ -38,41 +38,56 @@
         default_factory=dict,
     )
 
-    def delay_s(self, here: str, there: str) -> float:
+    def delay_s(self, from_zone: str, to_zone: str) -> float:
         """Give the one-way delay between two availability zones."""
-        if here == there:
+        if from_zone == to_zone:
             return 0
-        found = self.delays.get((here, there))
-        if found is None:
-            found = self.delays.get((there, here), 0)
-        return found
+        delay_s = self.delays.get((from_zone, to_zone))
+        if delay_s is None:
+            delay_s = self.delays.get((to_zone, from_zone), 0)
+        return delay_s
 
-    def read_s(self, prompt: int) -> float:
+    def prefill_s(self, prompt_tokens: int) -> float:
         """Give the time that reading a prompt takes by itself."""
-        pairs = prompt * prompt / 2
-        return prompt / self.read_per_s + pairs / _MILLION * self.pairs_s_per_m
+        token_pairs = prompt_tokens * prompt_tokens / 2
+        return (
+            prompt_tokens / self.prefill_tokens_per_s
+            + token_pairs / _MILLION * self.attention_s_per_m_pairs
+        )
 
-    def step(self, running: int) -> float:
+    def decode_step_s(self, running: int) -> float:
         """Give the time of one token step with so many calls writing."""
-        context = running * (self.usual_prompt + self.usual_answer / 2)
+        context_tokens = running * (
+            self.typical_prompt_tokens + self.typical_answer_tokens / 2
+        )
         return (
             self.step_s
-            + running * self.per_call_s
-            + context / _THOUSAND * self.context_s_per_k
+            + running * self.step_s_per_call
+            + context_tokens / _THOUSAND * self.step_s_per_k_context
         )
 
-    def slot_s(self) -> float:
+    def slot_interval_s(self) -> float:
         """Give the time from one slot's falling free to the next, full up."""
-        full = self.slots
-        steps = self.usual_answer * self.step(full) / full
-        return steps + self.read_s(self.usual_prompt)
+        slots = self.slots
+        decode_s = (
+            self.typical_answer_tokens * self.decode_step_s(slots) / slots
+        )
+        return decode_s + self.prefill_s(self.typical_prompt_tokens)
 
-    def first_token_s(self, prompt: int, waiting: float, running: int) -> float:
+    def first_token_s(
+        self, prompt_tokens: int, waiting: float, running: int
+    ) -> float:
         """Predict the time to the first token of a call that comes now."""
-        free = max(0, self.slots - running)
-        readers = min(waiting, free)
-        behind = max(0, waiting - free + 1) if waiting >= free else 0
-        pass_s = self.stride * self.step(min(running, self.slots))
-        pass_s *= _PASSES_TO_FIRST
-        reading = self.read_s(prompt) + readers * self.read_s(self.usual_prompt)
-        return pass_s + reading + behind * self.slot_s()
+        free_slots = max(0, self.slots - running)
+        prefilled_first = min(waiting, free_slots)
+        slots_awaited = (
+            max(0, waiting - free_slots + 1) if waiting >= free_slots else 0
+        )
+        pass_s = self.steps_per_pass * self.decode_step_s(
+            min(running, self.slots)
+        )
+        pass_s *= _PASSES_TO_FIRST_TOKEN
+        prefill_s = self.prefill_s(
+            prompt_tokens
+        ) + prefilled_first * self.prefill_s(self.typical_prompt_tokens)
+        return pass_s + prefill_s + slots_awaited * self.slot_interval_s()
--- a/src/linnetwood/calls/entrance.py
+++ b/src/linnetwood/calls/entrance.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from linnetwood.calls.accounts import believed, tell_admission
-from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.choice import Choice, Chooser, Requirements
 from linnetwood.calls.dialect import Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.policy.firsttries import AllAlike, FirstTries, Said
@@ -22,7 +22,7 @@
 class Needs(Protocol):
     """Say what calls ask of endpoints."""
 
-    def need(self, call: DirectCall) -> Need:
+    def requirements(self, call: DirectCall) -> Requirements:
         """Say it for one call."""
 
 
@@ -51,22 +51,22 @@
         if call.service.engine is None:
             return Urgency.IN_TIME
         now = self._clock.now()
-        need = self._dispatcher.need(call)
-        choice = self._chooser.choose(need, (), now)
+        requirements = self._dispatcher.requirements(call)
+        choice = self._chooser.choose(requirements, (), now)
         said = Said(call.route.name, call.head.wait_s, call.route.target_s)
         first = self._first_tries.is_first(said, now)
         if choice is None:
-            limited_s = self._chooser.limited_s(need, now)
-            why = 'limited' if limited_s else 'none'
-            return self._refusal(Code.NO_ENDPOINT, call, why, limited_s)
+            rate_limited_s = self._chooser.rate_limited_s(requirements, now)
+            why = 'limited' if rate_limited_s else 'none'
+            return self._refusal(Code.NO_ENDPOINT, call, why, rate_limited_s)
         if not (first or self._may_return(call.service, choice)):
-            self._tell(call, need, choice, 'returned')
+            self._tell(call, requirements, choice, 'returned')
             return self._refusal(Code.OVERLOADED, call, 'came back')
-        if choice.wait_s <= need.enough_s:
+        if choice.wait_s <= requirements.acceptable_wait_s:
             self._returns.admitted(now)
             return Urgency.IN_TIME
-        late = self._room_behind(need)
-        self._tell(call, need, choice, 'late' if late else 'refused')
+        late = self._room_behind(requirements)
+        self._tell(call, requirements, choice, 'late' if late else 'refused')
         if late:
             return Urgency.LATE
         detail = f'predicted {round(choice.wait_s * _MILLISECONDS)} ms'
@@ -76,39 +76,39 @@
         """Tell whether a caller who comes back keeps out no first try."""
         if service.engine is None:
             return True
-        standing = self._chooser.standing(choice.endpoint.life)
-        taken = sum(standing.work(self._clock.now()))
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+        taken = sum(stats.estimate_work(self._clock.now()))
         return self._return_room(Place(taken, service.engine.slots))
 
-    def _room_behind(self, need: Need) -> bool:
+    def _room_behind(self, requirements: Requirements) -> bool:
         """Tell whether a late call would take nobody's place.
 
         A slot must be free: late calls that fill the last ones keep out those
         that come first and would be in time.
         """
         now = self._clock.now()
-        need = dataclasses.replace(need, urgent=False)
-        choice = self._chooser.choose(need, (), now)
-        engine = need.service.engine
+        requirements = dataclasses.replace(requirements, urgent=False)
+        choice = self._chooser.choose(requirements, (), now)
+        engine = requirements.service.engine
         if choice is None or engine is None:
             return False
-        standing = self._chooser.standing(choice.endpoint.life)
-        waiting, running = standing.work(now)
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+        waiting, running = stats.estimate_work(now)
         return waiting + running < engine.slots - _KEPT_FREE
 
     def _tell(
         self,
         call: DirectCall,
-        need: Need,
+        requirements: Requirements,
         choice: Choice,
         outcome: str,
     ) -> None:
-        standing = self._chooser.standing(choice.endpoint.life)
-        belief = believed(standing, self._clock.now())
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+        belief = believed(stats, self._clock.now())
         tell_admission(
             call.head.call_id,
             call.route,
-            need,
+            requirements,
             choice,
             belief,
             outcome,
--- a/src/linnetwood/calls/entrycount.py
+++ b/src/linnetwood/calls/entrycount.py
@@ -9,46 +9,52 @@
 
 # How many entries share what all may do, until an endpoint process has told:
 # rather too many, since after a fault that took all of them, all guess at once.
-UNKNOWN_ENTRIES = 100
+ASSUMED_ENTRIES = 100
 # A process that said nothing for so long is gone, or is heard no more.
-_GONE_S = 4.0
+_EXPIRES_S = 4.0
 
 
-class _Told:
+class _ProcessCount:
     """What one process counted."""
 
-    __slots__ = ('at', 'entries', 'near')
+    __slots__ = ('received_at', 'entries', 'same_zone')
 
-    def __init__(self, entries: int, at: float, *, near: bool) -> None:
+    def __init__(self, entries: int, at: float, *, same_zone: bool) -> None:
         self.entries = entries
-        self.at = at
-        self.near = near
+        self.received_at = at
+        self.same_zone = same_zone
 
 
 class EntryCount:
     """Average what endpoint processes told lately."""
 
-    __slots__ = ('_told', 'entries')
+    __slots__ = ('_counts', 'entries')
 
     def __init__(self) -> None:
         """Guess, until somebody has told."""
-        self.entries = UNKNOWN_ENTRIES
-        self._told: dict[str, _Told] = {}
+        self.entries = ASSUMED_ENTRIES
+        self._counts: dict[str, _ProcessCount] = {}
 
-    def told(self, host: str, entries: int, now: float, *, near: bool) -> None:
+    def record(
+        self, host: str, entries: int, now: float, *, same_zone: bool
+    ) -> None:
         """Take in a count; 0 says that it is not known yet."""
         if entries:
-            self._told[host] = _Told(entries, now, near=near)
+            self._counts[host] = _ProcessCount(
+                entries, now, same_zone=same_zone
+            )
 
-    def settle(self, now: float) -> bool:
+    def update(self, now: float) -> bool:
         """Work out the count anew; tell whether it has changed."""
-        self._told = {
-            host: one
-            for host, one in self._told.items()
-            if now - one.at < _GONE_S
+        self._counts = {
+            host: count
+            for host, count in self._counts.items()
+            if now - count.received_at < _EXPIRES_S
         }
-        near = [one.entries for one in self._told.values() if one.near]
-        counts = near or [one.entries for one in self._told.values()]
+        same_zone = [
+            count.entries for count in self._counts.values() if count.same_zone
+        ]
+        counts = same_zone or [count.entries for count in self._counts.values()]
         if not counts:
             return False
         known = self.entries
--- a/src/linnetwood/calls/limits.py
+++ b/src/linnetwood/calls/limits.py
@@ -19,85 +19,91 @@
 from collections.abc import Callable
 from random import Random
 
-from linnetwood.calls.directory import Listed
+from linnetwood.calls.directory import Endpoint
 from linnetwood.calls.notices import Notices
 from linnetwood.calls.routebook import Service
-from linnetwood.calls.standing import Standing
-from linnetwood.calls.turns import Turns
+from linnetwood.calls.endpointstats import EndpointStats
+from linnetwood.calls.sendpacer import SendPacer
 from linnetwood.fleet.listeners import UNHEARD_SHARE
 
 # Of the limit: half as much again is allowed, and five calls. Few entries come
 # in even turns; where many have small parts, chance needs more of what is left.
-_USED_BY_FEW = 0.75
-_USED_BY_MANY = 0.5
+_USED_SHARE = 0.75
+_USED_SHARE_SMALL_QUOTA = 0.5
 # Of the whole: about that of one of three dozen entries.
-_SMALL_PART = 0.03
+_SMALL_QUOTA_SHARE = 0.03
 # A turn is kept for so long: what is allowed counts within four seconds.
-_SAVED_S = 1.0
+_MAX_LATE_S = 1.0
 # An endpoint that takes nothing gets a call now and then: else nobody would
 # hear that it takes some again.
-_LEAST_PER_S = 0.1
+_MIN_CALLS_PER_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class RateLimitTarget:
     """An endpoint of a service, and what is known of it."""
 
     service: Service
-    one: Listed
-    standing: Standing
+    endpoint: Endpoint
+    stats: EndpointStats
 
 
 class RateLimits:
     """Tell when this entry may send to an endpoint that names a limit."""
 
-    __slots__ = ('_entries', '_notices', '_turns')
+    __slots__ = ('_entry_count', '_notices', '_pacer')
 
     def __init__(
         self,
         notices: Notices,
         rng: Random,
-        entries: Callable[[], int],
+        entry_count: Callable[[], int],
     ) -> None:
         """Follow what endpoints say; know how many entries there are."""
         self._notices = notices
-        self._entries = entries
-        self._turns = Turns(rng, _SAVED_S)
+        self._entry_count = entry_count
+        self._pacer = SendPacer(rng, _MAX_LATE_S)
 
-    def opens_at(self, place: Place, now: float) -> float:
+    def available_at(self, target: RateLimitTarget, now: float) -> float:
         """Give from when on a call may go to an endpoint; now for any time."""
-        life = place.one.life
-        limit_per_s = self._notices.of(life).limit_per_s
+        incarnation_id = target.endpoint.incarnation_id
+        limit_per_s = self._notices.latest(incarnation_id).limit_per_s
         if limit_per_s is None:
             return now
-        pause_s = self._pause_s(limit_per_s, place, now)
-        return max(now, self._turns.next_at(life, pause_s, now))
+        interval_s = self._interval_s(limit_per_s, target, now)
+        return max(
+            now, self._pacer.next_send_at(incarnation_id, interval_s, now)
+        )
 
-    def sent(self, place: Place, now: float) -> None:
+    def record_sent(self, target: RateLimitTarget, now: float) -> None:
         """Note that a call goes there."""
-        life = place.one.life
-        limit_per_s = self._notices.of(life).limit_per_s
+        incarnation_id = target.endpoint.incarnation_id
+        limit_per_s = self._notices.latest(incarnation_id).limit_per_s
         if limit_per_s is not None:
-            pause_s = self._pause_s(limit_per_s, place, now)
-            self._turns.take(life, pause_s, now)
+            interval_s = self._interval_s(limit_per_s, target, now)
+            self._pacer.schedule_next(incarnation_id, interval_s, now)
 
-    def keep(self, lives: set[str]) -> None:
+    def forget_unlisted(self, listed_ids: set[str]) -> None:
         """Forget all others."""
-        self._turns.keep(lives)
+        self._pacer.forget_unlisted(listed_ids)
 
-    def _pause_s(
+    def _interval_s(
         self,
         limit_per_s: float,
-        place: Place,
+        target: RateLimitTarget,
         now: float,
     ) -> float:
-        part = self._part(place, now)
-        used = _USED_BY_MANY if part < _SMALL_PART else _USED_BY_FEW
-        return 1 / (max(limit_per_s, _LEAST_PER_S) * used * part)
-
-    def _part(self, place: Place, now: float) -> float:
+        quota = self._quota(target, now)
+        used_share = (
+            _USED_SHARE_SMALL_QUOTA
+            if quota < _SMALL_QUOTA_SHARE
+            else _USED_SHARE
+        )
+        return 1 / (max(limit_per_s, _MIN_CALLS_PER_S) * used_share * quota)
+
+    def _quota(self, target: RateLimitTarget, now: float) -> float:
         """Give the part of an endpoint's limit that is this entry's."""
-        equal = 1 / max(1, self._entries())
-        if place.service.engine is None:
-            return equal
-        return place.standing.part(now) or equal * UNHEARD_SHARE
+        equal_share = 1 / max(1, self._entry_count())
+        if target.service.engine is None:
+            return equal_share
+        return target.stats.quota(now) or equal_share * UNHEARD_SHARE
--- a/src/linnetwood/calls/reading.py
+++ b/src/linnetwood/calls/reading.py
@@ -7,7 +7,7 @@
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.grounds import Grounds
 from linnetwood.calls.likeness import likeness
-from linnetwood.calls.reach import reach_of
+from linnetwood.calls.regionscope import intersect_regions
 from linnetwood.calls.routebook import (
     Organisation,
     Route,
@@ -77,7 +77,9 @@
         arrival.at,
         arrival.at + min(held_s(head), route.timeout_s),
         arrival.grounds,
-        reach_of(route.regions, organisation.regions if organisation else ()),
+        intersect_regions(
+            route.regions, organisation.regions if organisation else ()
+        ),
         likeness(
             organisation.name if organisation else '',
             arrival.method,
--- a/src/linnetwood/calls/reach.py
+++ b/src/linnetwood/calls/regionscope.py
@@ -5,7 +5,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reach:
+class RegionScope:
     """The regions whose endpoints may receive a call; None stands for any.
 
     It goes with the call to each choice: at admission, at a second attempt, and
@@ -19,12 +19,12 @@
         return self.regions is None or region in self.regions
 
 
-ANYWHERE = Reach()
+ANY_REGION = RegionScope()
 
 
-def reach_of(*bounds: Collection[str]) -> Reach:
+def intersect_regions(*bounds: Collection[str]) -> RegionScope:
     """Give what all bounds allow; an empty one allows every region."""
     binding = [frozenset(bound) for bound in bounds if bound]
     if not binding:
-        return ANYWHERE
-    return Reach(frozenset.intersection(*binding))
+        return ANY_REGION
+    return RegionScope(frozenset.intersection(*binding))
--- a/src/linnetwood/calls/lives.py
+++ b/src/linnetwood/calls/reportintake.py
@@ -6,17 +6,17 @@
 """
 
 from linnetwood.calls.choice import Chooser
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.standing import Report
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.endpointstats import Report
 
 
-def take_report(
+def apply_report(
     directory: Directory,
     chooser: Chooser,
     host: str,
     born: int,
     report: Report,
-) -> Listed | None:
+) -> Endpoint | None:
     """Take in a report that came from a host, born at a Unix millisecond.
 
     Give the endpoint of which it says something new beside its load.
@@ -26,16 +26,18 @@
     it may be of another endpoint that has the address now, so it counts for
     nobody, but the life that is listed has ended.
     """
-    listed = directory.at_host(host)
-    if listed is None:
+    endpoint = directory.at_host(host)
+    if endpoint is None:
         return None
-    if born and listed.born and born != listed.born:
-        if born > listed.born:
-            directory.left(listed.endpoint)
+    if born and endpoint.born and born != endpoint.born:
+        if born > endpoint.born:
+            directory.mark_superseded(endpoint.endpoint_id)
         return None
-    chooser.standing(listed.life).heard(report)
+    chooser.stats_of(endpoint.incarnation_id).record_report(report)
     notice = report.notice
-    if notice is None or report.notice_of != listed.life_mark:
+    if notice is None or report.notice_mark != endpoint.incarnation_mark:
         return None
-    fresh = chooser.notices.heard(listed.life, notice, report.notice_at)
-    return listed if fresh else None
+    is_news = chooser.notices.record(
+        endpoint.incarnation_id, notice, report.notice_at
+    )
+    return endpoint if is_news else None
--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -7,13 +7,13 @@
 
 from linnetwood.calls.accounts import tell_notice
 from linnetwood.calls.choice import Chooser
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.entrycount import EntryCount
-from linnetwood.calls.greetings import Greetings
+from linnetwood.calls.reportsubscriptions import ReportSubscriptions
 from linnetwood.calls.routebook import RouteBook
-from linnetwood.calls.lives import take_report
+from linnetwood.calls.reportintake import apply_report
 from linnetwood.calls.notices import Notice
-from linnetwood.calls.standing import Report
+from linnetwood.calls.endpointstats import Report
 from linnetwood.core.clock import Clock
 from linnetwood.core.waits import happened
 from linnetwood.fleet.hosts import unpack
@@ -29,12 +29,12 @@
 )
 
 # An endpoint process tells the entries that it heard from within four of these.
-HELLO_EVERY_S = 1.0
+SUBSCRIBE_EVERY_S = 1.0
 # While the list changes all the time, as in a crowd of starts, what is news is
 # told together; whoever is told later by this still has most of any bound.
-_HELLO_LEAST_S = 0.1
+_MIN_SUBSCRIBE_GAP_S = 0.1
 # What an answer said is told again if no report has it after this.
-_PASSED_ON_S = 0.5
+_FORWARD_AGAIN_AFTER_S = 0.5
 _NO_LIMIT = -1
 _THOUSAND = 1000
 _MILLISECONDS = 1000
@@ -51,13 +51,13 @@
         wanted: WantedVersions,
         clock: Clock,
         port: int,
-        counted: Callable[[], None],
+        on_count_changed: Callable[[], None],
         zone: str,
         tellers: Tellers,
     ) -> None:
         """Tell nothing yet; all endpoint processes listen on one port."""
         self.book = RouteBook()
-        self.greetings = Greetings(
+        self.subscriptions = ReportSubscriptions(
             tellers.me,
             zone,
             directory,
@@ -66,8 +66,8 @@
         )
         self._zone = zone
         self._tellers = tellers
-        self._count = EntryCount()
-        self._counted = counted
+        self._entry_count = EntryCount()
+        self._on_count_changed = on_count_changed
         self._directory = directory
         self._chooser = chooser
         self._wanted = wanted
@@ -75,13 +75,13 @@
         self._port = port
         self._news = NewsPort(self)
         self._wake = asyncio.Event()
-        self._hello_at = -math.inf
+        self._subscribe_at = -math.inf
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def entries(self) -> int:
+    def entry_count(self) -> int:
         """Give how many entries share what all may do."""
-        return self._count.entries
+        return self._entry_count.entries
 
     async def start(self, host: str) -> None:
         """Listen, and begin to tell."""
@@ -95,30 +95,30 @@
             await asyncio.gather(self._task, return_exceptions=True)
         self._news.close()
 
-    def ask(self, hosts: list[str]) -> None:
+    def request_neighbours(self, hosts: list[str]) -> None:
         """Ask processes beside engines which other entries there are."""
         asks = EntryAsks(zone=self._zone)
         addresses = [(host, self._port) for host in hosts]
         self._news.send(News(asks=asks), addresses)
 
-    def noticed(self, one: Listed, now: float) -> None:
+    def forward_notice(self, endpoint: Endpoint, now: float) -> None:
         """Pass on what an answer said, unless the engine's process tells it."""
-        standing = self._chooser.standing(one.life)
-        lately = now - standing.passed_on_at < _PASSED_ON_S
-        if standing.report is None or lately:
+        stats = self._chooser.stats_of(endpoint.incarnation_id)
+        recently = now - stats.notice_forwarded_at < _FORWARD_AGAIN_AFTER_S
+        if stats.report is None or recently:
             return
-        told = standing.told(one.life_mark, now)
-        known = self._chooser.notices.of(one.life)
-        alike = told.limit_per_s == known.limit_per_s
-        if alike and told.leaving == known.leaving:
+        reported = stats.reported_notice(endpoint.incarnation_mark, now)
+        latest = self._chooser.notices.latest(endpoint.incarnation_id)
+        same_limit = reported.limit_per_s == latest.limit_per_s
+        if same_limit and reported.leaving == latest.leaving:
             return
-        standing.passed_on_at = now
-        said = EngineSaid(
-            one.life_mark,
-            _milli(known.limit_per_s),
-            known.leaving,
+        stats.notice_forwarded_at = now
+        forwarded = EngineSaid(
+            endpoint.incarnation_mark,
+            _milli(latest.limit_per_s),
+            latest.leaving,
         )
-        self._news.send(News(said=said), [(one.host, self._port)])
+        self._news.send(News(said=forwarded), [(endpoint.host, self._port)])
 
     def wake(self) -> None:
         """Look at once whether something changed that others should know."""
@@ -128,47 +128,56 @@
         """Take in an engine's report, or which other entries there are."""
         now = self._clock.now()
         if news.neighbours is not None:
-            self._heard_neighbours(news.neighbours, now)
+            self._receive_neighbours(news.neighbours, now)
         if news.engine is not None:
-            self._heard_engine(news.engine, source[0], now)
+            self._receive_report(news.engine, source[0], now)
 
-    def _heard_neighbours(self, news: NeighbourNews, now: float) -> None:
+    def _receive_neighbours(self, news: NeighbourNews, now: float) -> None:
         self._tellers.heard(unpack(news.hosts), now)
-        for one in news.elsewhere:
-            self._tellers.elsewhere.heard(one.zone, unpack(one.hosts), now)
+        for zone_hosts in news.elsewhere:
+            self._tellers.elsewhere.heard(
+                zone_hosts.zone, unpack(zone_hosts.hosts), now
+            )
 
-    def _heard_engine(self, engine: EngineNews, host: str, now: float) -> None:
+    def _receive_report(
+        self, engine: EngineNews, host: str, now: float
+    ) -> None:
         self._wanted.heard(engine.wanted, now)
-        near = self.greetings.near(host)
-        self._count.told(host, engine.entries, now, near=near)
+        same_zone = self.subscriptions.is_same_zone(host)
+        self._entry_count.record(host, engine.entries, now, same_zone=same_zone)
         report = _report(engine, now)
-        fresh = take_report(
+        endpoint = apply_report(
             self._directory,
             self._chooser,
             host,
             engine.born,
             report,
         )
-        if fresh is not None:
-            tell_notice(fresh, self._chooser.notices.of(fresh.life))
+        if endpoint is not None:
+            tell_notice(
+                endpoint, self._chooser.notices.latest(endpoint.incarnation_id)
+            )
 
     async def _run(self) -> None:
         while True:
             self._wake.clear()
             now = self._clock.now()
-            if self.greetings.changed(self.book) or self._hello_at <= now:
-                self._hello_at = now + HELLO_EVERY_S
-                self._tell()
-            self._chooser.forget(now)
+            if (
+                self.subscriptions.has_changed(self.book)
+                or self._subscribe_at <= now
+            ):
+                self._subscribe_at = now + SUBSCRIBE_EVERY_S
+                self._subscribe()
+            self._chooser.forget_unlisted(now)
             self._directory.expire(now)
-            await asyncio.sleep(_HELLO_LEAST_S)
-            await happened(self._wake, self._hello_at - self._clock.now())
+            await asyncio.sleep(_MIN_SUBSCRIBE_GAP_S)
+            await happened(self._wake, self._subscribe_at - self._clock.now())
 
-    def _tell(self) -> None:
+    def _subscribe(self) -> None:
         now = self._clock.now()
-        self.greetings.tell(self.book, now, self._news, self._port)
-        if self._count.settle(now):
-            self._counted()
+        self.subscriptions.send(self.book, now, self._news, self._port)
+        if self._entry_count.update(now):
+            self._on_count_changed()
 
 
 def _milli(limit_per_s: float | None) -> int:
@@ -198,7 +207,7 @@
     return dataclasses.replace(
         report,
         notice=_notice(said),
-        notice_of=said.life,
+        notice_mark=said.life,
         notice_at=now - said.age_ms / _MILLISECONDS,
-        part=said.part_ppm / _MILLION,
+        quota=said.part_ppm / _MILLION,
     )
--- a/src/linnetwood/calls/greetings.py
+++ b/src/linnetwood/calls/reportsubscriptions.py
@@ -5,9 +5,9 @@
 from collections import defaultdict
 from collections.abc import Callable, Mapping
 
-from linnetwood.calls.candidates import Candidates, draw
+from linnetwood.calls.candidates import Candidates, select_hosts
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.engine import EngineProfile
 from linnetwood.calls.routebook import Origin, RouteBook
 from linnetwood.fleet.listeners import report_every_s
 from linnetwood.fleet.news import Address, NewsPort
@@ -20,19 +20,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Around:
+class _ServiceSubscription:
     """The engines of a service, and what was worked out of their places."""
 
     places: Places
     digest: int
     revision: int
-    heard: Mapping[str, float]
+    stands_for: Mapping[str, float]
     # At this pace all that is heard stays within its bound.
-    every_s: float
+    report_interval_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Told:
+class _Announcement:
     """What greetings are about, but for ages."""
 
     digests: Mapping[str, int]
@@ -44,12 +44,12 @@
     return 0
 
 
-class Greetings:
+class ReportSubscriptions:
     """Tell what is wanted to those that are to report."""
 
     def __init__(
         self,
-        me: str,
+        entry_host: str,
         zone: str,
         directory: Directory,
         candidates: Candidates,
@@ -59,35 +59,38 @@
         self.peers = PeerTeller()
         # The revision of the platform's store that the directory is of.
         self.revision: Callable[[], int] = _unknown
-        self._me = me
+        self._entry_host = entry_host
         self._zone = zone
         self._directory = directory
         self._candidates = candidates
         self._wanted = wanted
-        self._around: dict[str, _Around] = {}
+        self._by_service: dict[str, _ServiceSubscription] = {}
         self._number = 0
-        self._told: _Told | None = None
+        self._announced: _Announcement | None = None
 
-    def near(self, host: str) -> bool:
+    def is_same_zone(self, host: str) -> bool:
         """Tell whether a host that is heard is of this zone."""
         return any(
-            around.places.get(host) == self._zone
-            for around in self._around.values()
+            subscription.places.get(host) == self._zone
+            for subscription in self._by_service.values()
         )
 
-    def changed(self, book: RouteBook) -> bool:
+    def has_changed(self, book: RouteBook) -> bool:
         """Tell whether there is news since this was asked last.
 
         Most changes of the list are of load and warmth, and no news here.
         """
-        self._look_around(book)
-        digests = {name: one.digest for name, one in self._around.items()}
-        told = _Told(digests, self._wanted.known(), book.origin)
-        before = self._told
-        self._told = told
-        return told != before
-
-    def tell(
+        self._refresh(book)
+        digests = {
+            name: subscription.digest
+            for name, subscription in self._by_service.items()
+        }
+        announcement = _Announcement(digests, self._wanted.known(), book.origin)
+        previous = self._announced
+        self._announced = announcement
+        return announcement != previous
+
+    def send(
         self,
         book: RouteBook,
         now: float,
@@ -95,56 +98,62 @@
         port: int,
     ) -> None:
         """Greet those heard of each service that has engines."""
-        self._look_around(book)
+        self._refresh(book)
         self._number += 1
-        for service, around in self._around.items():
+        for service, subscription in self._by_service.items():
             engine = book.services[service].engine
             if engine is not None:
-                greeting = self._greeting(service, engine, book.origin, now)
-                self._send(greeting, around, news, port)
+                message = self._message(service, engine, book.origin, now)
+                self._send(message, subscription, news, port)
 
-    def _look_around(self, book: RouteBook) -> None:
+    def _refresh(self, book: RouteBook) -> None:
         """Draw anew whom to hear where engines have come or gone."""
-        known = self._around
-        self._around = {
-            service.name: around
+        previous = self._by_service
+        self._by_service = {
+            service.name: subscription
             for service in book.services.values()
             if service.engine is not None
-            and (around := self._around_of(service.name, known)) is not None
+            and (subscription := self._subscribed_of(service.name, previous))
+            is not None
         }
-        if self._around != known:
-            heard = [around.heard for around in self._around.values()]
-            self._candidates.hear(itertools.chain.from_iterable(heard))
-
-    def _around_of(
+        if self._by_service != previous:
+            stands_for = [
+                subscription.stands_for
+                for subscription in self._by_service.values()
+            ]
+            self._candidates.prefer_hosts(
+                itertools.chain.from_iterable(stands_for)
+            )
+
+    def _subscribed_of(
         self,
         service: str,
-        known: Mapping[str, _Around],
-    ) -> _Around | None:
+        previous: Mapping[str, _ServiceSubscription],
+    ) -> _ServiceSubscription | None:
         listed = list(self._directory.of_service(service))
-        for endpoint in listed:
-            self._wanted.serving(endpoint.versions.items())
-        places = {one.host: one.zone for one in listed}
-        around = known.get(service)
-        if around is not None and around.places == places:
-            return around
-        return self._drawn(places) if places else None
-
-    def _drawn(self, places: Places) -> _Around:
+        for known in listed:
+            self._wanted.serving(known.versions.items())
+        places = {endpoint.host: endpoint.zone for endpoint in listed}
+        subscription = previous.get(service)
+        if subscription is not None and subscription.places == places:
+            return subscription
+        return self._select(places) if places else None
+
+    def _select(self, places: Places) -> _ServiceSubscription:
         revision = self.revision()
-        heard = draw(self._me, self._zone, places)
-        return _Around(
+        stands_for = select_hosts(self._entry_host, self._zone, places)
+        return _ServiceSubscription(
             places,
             self.peers.update(places, revision),
             revision,
-            heard,
-            report_every_s([places[host] for host in heard], self._zone),
+            stands_for,
+            report_every_s([places[host] for host in stands_for], self._zone),
         )
 
-    def _greeting(
+    def _message(
         self,
         service: str,
-        engine: EngineFigures,
+        engine: EngineProfile,
         origin: Origin,
         now: float,
     ) -> EntryNews:
@@ -160,18 +169,18 @@
 
     def _send(
         self,
-        greeting: EntryNews,
-        around: _Around,
+        message: EntryNews,
+        subscription: _ServiceSubscription,
         news: NewsPort,
         port: int,
     ) -> None:
-        greeting.peers_digest = around.digest
-        greeting.peers_revision = around.revision
-        greeting.every_ms = int(around.every_s * _MILLISECONDS)
+        message.peers_digest = subscription.digest
+        message.peers_revision = subscription.revision
+        message.every_ms = int(subscription.report_interval_s * _MILLISECONDS)
         # One encoding serves all hosts for which it says the same.
-        alike: dict[int, list[Address]] = defaultdict(list)
-        for host, stands_for in around.heard.items():
-            alike[round(stands_for * _PERCENT)].append((host, port))
-        for stands_for_pct, addresses in alike.items():
-            greeting.stands_for_pct = stands_for_pct
-            news.send(News(entry=greeting), addresses)
+        hosts_by_share: dict[int, list[Address]] = defaultdict(list)
+        for host, stands_for in subscription.stands_for.items():
+            hosts_by_share[round(stands_for * _PERCENT)].append((host, port))
+        for stands_for_pct, addresses in hosts_by_share.items():
+            message.stands_for_pct = stands_for_pct
+            news.send(News(entry=message), addresses)
--- a/src/linnetwood/calls/routebook.py
+++ b/src/linnetwood/calls/routebook.py
@@ -4,7 +4,7 @@
 import enum
 from collections.abc import Iterable, Mapping
 
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.engine import EngineProfile
 
 PRIORITY_LOWEST = 9
 
@@ -51,7 +51,7 @@
 
     name: str
     connection_limit: int
-    engine: EngineFigures | None = None
+    engine: EngineProfile | None = None
     # Calls a second that a cold endpoint bears from all entries; 0 for any.
     cold_per_s: float = 0
     # How long one is cold after its start.
--- a/src/linnetwood/calls/routing.py
+++ b/src/linnetwood/calls/routing.py
@@ -12,11 +12,11 @@
 from linnetwood.gen.schema.ttypes import Deployment
 from linnetwood.gen.wire.ttypes import Member
 
-_FAR_PENALTY = 0.25
+_OTHER_ZONE_PENALTY = 0.25
 _SUSPECT_PENALTY = 2.0
 _FAILED_PENALTY = 2.0
-_FAILED_FOR_S = 2.0
-_FRESH_NEEDED = 2
+_FAILURE_RECENT_S = 2.0
+_MIN_FRESH = 2
 FRESH_S = 1.0
 
 
@@ -52,13 +52,13 @@
 
     def __init__(self) -> None:
         """Start at the first."""
-        self._turn = 0
+        self._position = 0
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
         """Give the next candidate by name."""
-        self._turn += 1
-        ordered = sorted(candidates, key=lambda one: one.member.vm)
-        return ordered[self._turn % len(ordered)]
+        self._position += 1
+        ordered = sorted(candidates, key=lambda candidate: candidate.member.vm)
+        return ordered[self._position % len(ordered)]
 
 
 class LeastKnownLoad:
@@ -67,7 +67,9 @@
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
         """Give a candidate with the lowest load, any of equals."""
         lowest = min(candidate.load for candidate in candidates)
-        return rng.choice([one for one in candidates if one.load == lowest])
+        return rng.choice(
+            [candidate for candidate in candidates if candidate.load == lowest]
+        )
 
 
 class Probing:
@@ -86,8 +88,8 @@
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
         """Give the best of the fresh ones."""
-        fresh = [one for one in candidates if one.fresh]
-        if len(fresh) < _FRESH_NEEDED:
+        fresh = [candidate for candidate in candidates if candidate.fresh]
+        if len(fresh) < _MIN_FRESH:
             return self._fallback.choose(candidates, rng)
         return self._fallback.choose(fresh, rng)
 
@@ -98,7 +100,7 @@
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
         """Give the better of two candidates."""
         pair = rng.sample(candidates, min(2, len(candidates)))
-        return min(pair, key=lambda one: one.load)
+        return min(pair, key=lambda candidate: candidate.load)
 
 
 POLICIES: Final[Mapping[str, Callable[[], Policy]]] = MappingProxyType(
@@ -124,31 +126,31 @@
     reported_at: float = -math.inf
     sent_at_report: int = 0
     sent: int = 0
-    failed_at: float = -_FAILED_FOR_S
+    failed_at: float = -_FAILURE_RECENT_S
 
-    def report(self, in_flight: int, now: float) -> None:
+    def record_report(self, in_flight: int, now: float) -> None:
         """Take in the endpoint's own count."""
         self.reported = in_flight
         self.reported_at = now
         self.sent_at_report = self.sent
 
-    def fresh(self, now: float) -> bool:
+    def is_fresh(self, now: float) -> bool:
         """Tell whether the report is worth more than none."""
         return now - self.reported_at < FRESH_S
 
-    def failed_of_late(self, now: float) -> bool:
+    def failed_recently(self, now: float) -> bool:
         """Tell whether an attempt there was lost a moment ago."""
-        return now - self.failed_at < _FAILED_FOR_S
+        return now - self.failed_at < _FAILURE_RECENT_S
 
     def estimate(self, now: float) -> int:
         """Correct the report by what this entry began and ended since."""
-        if not self.fresh(now):
+        if not self.is_fresh(now):
             return self.sent
         return max(self.sent, self.reported + self.sent - self.sent_at_report)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Want:
+class EndpointQuery:
     """What a call needs of an endpoint."""
 
     kind: str
@@ -163,14 +165,14 @@
     def __init__(self, zone: str, policy: Policy, rng: Random) -> None:
         """Know nobody yet."""
         # How many entries share the endpoints, this one too.
-        self.entries = 1
+        self.entry_count = 1
         self._zone = zone
         self._policy = policy
         self._rng = rng
         self._members: dict[str, Member] = {}
         self._loads: dict[str, Load] = {}
-        self._wanted: dict[str, set[str]] = {}
-        self._declared: dict[str, set[str]] = {}
+        self._wanted_labels: dict[str, set[str]] = {}
+        self._declared_labels: dict[str, set[str]] = {}
 
     def member_changed(self, member: Member) -> None:
         """Take in a newer statement about an endpoint."""
@@ -182,16 +184,16 @@
         else:
             self._members[member.vm] = member
 
-    def configured(self, deployment: Deployment) -> None:
+    def apply_config(self, deployment: Deployment) -> None:
         """Take in which versions may answer for a model, best first."""
-        self._wanted = {
+        self._wanted_labels = {
             intent.model: {
                 label(intent.model, intent.version),
                 label(intent.model, intent.previous_version),
             }
             for intent in deployment.intents
         }
-        self._declared = {
+        self._declared_labels = {
             model.name: {
                 label(model.name, version.name) for version in model.versions
             }
@@ -202,11 +204,13 @@
         """Give the record of an endpoint's load."""
         return self._loads.setdefault(vm, Load())
 
-    def knows(self, want: Want) -> bool:
+    def knows(self, query: EndpointQuery) -> bool:
         """Tell whether what is wanted is declared or present at all."""
-        if want.model:
-            return want.model in self._declared
-        return any(one.kind == want.kind for one in self._members.values())
+        if query.model:
+            return query.model in self._declared_labels
+        return any(
+            member.kind == query.kind for member in self._members.values()
+        )
 
     def slots(self, target: str) -> int:
         """Give the slots of the endpoints that serve a model or service."""
@@ -214,43 +218,47 @@
             member.slots
             for member in self._members.values()
             if target in {member.kind, member.serving.partition(SEPARATOR)[0]}
-            and _able(member, Want(member.kind))
+            and _is_eligible(member, EndpointQuery(member.kind))
         )
 
     def choose(
         self,
-        want: Want,
+        query: EndpointQuery,
         tried: Collection[str],
         now: float,
     ) -> Member | None:
         """Give the endpoint for a call, or None when there is none."""
-        able = self._candidates(want, tried)
+        able = self._candidates(query, tried)
         if not able:
             return None
-        roomy = [one for one in able if self._has_room(one, now)] or able
+        roomy = [
+            member for member in able if self._has_room(member, now)
+        ] or able
         candidates = [self._candidate(member, now) for member in roomy]
         return self._policy.choose(candidates, self._rng).member
 
-    def sample(self, want: Want) -> Member | None:
+    def sample(self, query: EndpointQuery) -> Member | None:
         """Give an endpoint at random to ask for its load."""
-        able = self._candidates(want, ())
+        able = self._candidates(query, ())
         return self._rng.choice(able) if able else None
 
-    def _candidates(self, want: Want, tried: Collection[str]) -> list[Member]:
+    def _candidates(
+        self, query: EndpointQuery, tried: Collection[str]
+    ) -> list[Member]:
         able = [
             member
             for member in self._members.values()
-            if member.vm not in tried and _able(member, want)
+            if member.vm not in tried and _is_eligible(member, query)
         ]
-        return self._serving(want.model, able) if want.model else able
+        return self._serving_wanted(query.model, able) if query.model else able
 
-    def _serving(self, model: str, able: list[Member]) -> list[Member]:
-        wanted = self._wanted.get(model, set())
+    def _serving_wanted(self, model: str, able: list[Member]) -> list[Member]:
+        wanted = self._wanted_labels.get(model, set())
         found = [member for member in able if member.serving in wanted]
         if found:
             return found
         # Versions changed faster than they arrived: any declared one is whole.
-        declared = self._declared.get(model, set())
+        declared = self._declared_labels.get(model, set())
         return [member for member in able if member.serving in declared]
 
     def _has_room(self, member: Member, now: float) -> bool:
@@ -260,26 +268,26 @@
         however late they hear of its load.
         """
         load = self.load(member.vm)
-        if member.status == Health.SUSPECT or load.failed_of_late(now):
+        if member.status == Health.SUSPECT or load.failed_recently(now):
             return False
-        return load.sent < -(-member.slots // self.entries)
+        return load.sent < -(-member.slots // self.entry_count)
 
     def _candidate(self, member: Member, now: float) -> Candidate:
         record = self.load(member.vm)
         load = record.estimate(now) / max(1, member.slots)
         if member.availability_zone != self._zone:
-            load += _FAR_PENALTY
+            load += _OTHER_ZONE_PENALTY
         if member.status == Health.SUSPECT:
             load += _SUSPECT_PENALTY
-        if record.failed_of_late(now):
+        if record.failed_recently(now):
             load += _FAILED_PENALTY
-        return Candidate(member, load, record.fresh(now))
+        return Candidate(member, load, record.is_fresh(now))
 
 
-def _able(member: Member, want: Want) -> bool:
+def _is_eligible(member: Member, query: EndpointQuery) -> bool:
     if member.status not in {Health.ALIVE, Health.SUSPECT}:
         return False
-    if member.kind != want.kind:
+    if member.kind != query.kind:
         return False
-    named = (want.vm, want.incarnation)
-    return not want.vm or (member.vm, member.incarnation) == named
+    named = (query.vm, query.incarnation)
+    return not query.vm or (member.vm, member.incarnation) == named
--- a/src/linnetwood/calls/coldgate.py
+++ b/src/linnetwood/calls/warmuplimiter.py
@@ -9,35 +9,41 @@
 from collections.abc import Callable
 from random import Random
 
-from linnetwood.calls.turns import Turns
+from linnetwood.calls.sendpacer import SendPacer
 
 # Of the rate that is borne: what entries that come, die and count each other
 # late add to it has to fit into the rest, and into what is allowed over it.
-_PART = 0.9
+_USED_SHARE = 0.9
 # A turn is kept for so long: what is allowed counts within a second.
-_SAVED_S = 0.1
+_MAX_LATE_S = 0.1
 # A zone whose evacuation ends, or an endpoint that was lost, is held to be cold
 # for so long, until its own word may be there: heartbeats come every 1.2 s.
-UNTOLD_S = 2.0
+ASSUMED_COLD_S = 2.0
 
 
-class ColdGate(Turns):
+class WarmupLimiter(SendPacer):
     """Hold when this entry may next send to each cold endpoint."""
 
-    __slots__ = ('_entries',)
+    __slots__ = ('_entry_count',)
 
-    def __init__(self, rng: Random, entries: Callable[[], int]) -> None:
+    def __init__(self, rng: Random, entry_count: Callable[[], int]) -> None:
         """Share with as many entries as there are now."""
-        super().__init__(rng, _SAVED_S)
-        self._entries = entries
+        super().__init__(rng, _MAX_LATE_S)
+        self._entry_count = entry_count
 
-    def opens(self, life: str, per_s: float, now: float) -> bool:
+    def may_send(
+        self, incarnation_id: str, calls_per_s: float, now: float
+    ) -> bool:
         """Tell whether a call may go to a cold endpoint now."""
-        return now >= self.next_at(life, self._pause_s(per_s), now)
+        return now >= self.next_send_at(
+            incarnation_id, self._interval_s(calls_per_s), now
+        )
 
-    def sent(self, life: str, per_s: float, now: float) -> None:
+    def record_sent(
+        self, incarnation_id: str, calls_per_s: float, now: float
+    ) -> None:
         """Note that a call goes there."""
-        self.take(life, self._pause_s(per_s), now)
+        self.schedule_next(incarnation_id, self._interval_s(calls_per_s), now)
 
-    def _pause_s(self, per_s: float) -> float:
-        return max(1, self._entries()) / (per_s * _PART)
+    def _interval_s(self, calls_per_s: float) -> float:
+        return max(1, self._entry_count()) / (calls_per_s * _USED_SHARE)
--- a/src/linnetwood/lab/callsteps.py
+++ b/src/linnetwood/lab/callsteps.py
@@ -46,7 +46,7 @@
             '/linnetwood/calls/entrance',
             '/linnetwood/calls/choice',
             '/linnetwood/calls/candidates',
-            '/linnetwood/calls/standing',
+            '/linnetwood/calls/endpointstats',
             '/linnetwood/calls/directory',
             '/linnetwood/calls/engine',
             '/linnetwood/calls/policy/',
@@ -56,7 +56,7 @@
         'hear endpoints and the store',
         (
             '/linnetwood/calls/reports',
-            '/linnetwood/calls/greetings',
+            '/linnetwood/calls/reportsubscriptions',
             '/linnetwood/fleet/',
             '/linnetwood/platform/',
             '/linnetwood/wire/',
--- a/src/linnetwood/lab/histories.py
+++ b/src/linnetwood/lab/histories.py
@@ -9,7 +9,7 @@
 from linnetwood.calls.dispatch import Call, Dispatcher, mint
 from linnetwood.calls.guard import Guard, GuardState
 from linnetwood.calls.keys import KeyMemory
-from linnetwood.calls.routing import POLICIES, Routes, Want
+from linnetwood.calls.routing import POLICIES, Routes, EndpointQuery
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import (
     ANSWERED,
@@ -231,7 +231,7 @@
             Version(name=name.partition('@')[2], manifest='m')
             for name in VERSIONS
         ]
-        routes.configured(
+        routes.apply_config(
             Deployment(
                 models=[Model(name=MODEL, versions=versions)],
                 intents=[
@@ -278,7 +278,7 @@
     async def _confirm_new(self, mark: str) -> None:
         key = ''
         routes = self._rng.choice(self._routes)
-        member = routes.choose(Want(_SERVICE), (), self._clock.now())
+        member = routes.choose(EndpointQuery(_SERVICE), (), self._clock.now())
         if member is not None and self._rng.random() < 0.7:
             key = mint(member, f'n{len(self._keys)}')
             self._keys.append((mark, key))
@@ -298,17 +298,17 @@
         self.history.expected[(mark, sink.version)] = expected
 
     def _generate(self, mark: str) -> Call:
-        return self._make(mark, Want(ENGINE_KIND, model=MODEL), MODEL)
+        return self._make(mark, EndpointQuery(ENGINE_KIND, model=MODEL), MODEL)
 
     def _lookup(self, mark: str) -> Call:
-        return self._make(mark, Want(_SERVICE), _SERVICE)
+        return self._make(mark, EndpointQuery(_SERVICE), _SERVICE)
 
     def _confirm(self, mark: str, key: str) -> Call:
-        want = Want(_SERVICE)
+        query = EndpointQuery(_SERVICE)
         if key:
             vm, incarnation, _, _ = key.rsplit('.', 3)
-            want = Want(_SERVICE, vm=vm, incarnation=int(incarnation))
-        call = self._make(mark, want, _SERVICE)
+            query = EndpointQuery(_SERVICE, vm=vm, incarnation=int(incarnation))
+        call = self._make(mark, query, _SERVICE)
         return dataclasses.replace(
             call,
             may_repeat=False,
@@ -316,10 +316,10 @@
             key=key,
         )
 
-    def _make(self, mark: str, want: Want, target: str) -> Call:
+    def _make(self, mark: str, query: EndpointQuery, target: str) -> Call:
         return Call(
             call_id=f'{self._rng.getrandbits(64):016x}',
-            want=want,
+            query=query,
             target=target,
             method='POST',
             path='/',
--- a/src/linnetwood/lab/measure_routing.py
+++ b/src/linnetwood/lab/measure_routing.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from linnetwood.calls.routing import POLICIES, Routes, Want
+from linnetwood.calls.routing import POLICIES, Routes, EndpointQuery
 from linnetwood.fleet.members import ENDPOINT, Health
 from linnetwood.fleet.placement import ENGINE_KIND
 from linnetwood.gen.schema.ttypes import (
@@ -25,7 +25,7 @@
 _WARM_S = 10.0
 _SAMPLE_S = 0.25
 _PROBE_S = 0.003
-_WANT = Want(ENGINE_KIND, model='m')
+_QUERY = EndpointQuery(ENGINE_KIND, model='m')
 
 
 class _World:
@@ -65,10 +65,10 @@
         """Send a call from an entry at random."""
         self.at(now + self.rng.expovariate(self.rate), self.arrive)
         routes = self.rng.choice(self.entries)
-        asked = routes.sample(_WANT)
+        asked = routes.sample(_QUERY)
         if asked is not None:
             self.at(now + _PROBE_S, self.probe, routes, asked.vm)
-        member = routes.choose(_WANT, (), now)
+        member = routes.choose(_QUERY, (), now)
         if member is None:
             return
         routes.load(member.vm).sent += 1
@@ -83,7 +83,7 @@
 
     def report(self, now: float, routes: Routes, vm: str, load: int) -> None:
         """Take a late report in."""
-        routes.load(vm).report(load, now)
+        routes.load(vm).record_report(load, now)
 
     def end(self, now: float, routes: Routes, vm: str) -> None:
         """End a call."""
@@ -100,7 +100,7 @@
 
     def _routes(self, policy: str) -> Routes:
         routes = Routes('z', POLICIES[policy](), self.rng)
-        routes.configured(
+        routes.apply_config(
             Deployment(
                 models=[
                     Model(
--- a/src/linnetwood/lab/policy.py
+++ b/src/linnetwood/lab/policy.py
@@ -17,16 +17,16 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from linnetwood.calls.candidates import draw
-from linnetwood.calls.choice import Choice, Chooser, Need
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.candidates import select_hosts
+from linnetwood.calls.choice import Choice, Chooser, Requirements
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.engine import EngineProfile
 from linnetwood.calls.policy.firsttries import FIRST_TRIES, FirstTries, Said
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
 from linnetwood.calls.policy.returnroom import RETURN_ROOM, Place
 from linnetwood.calls.policy.returns import RETURNS, Returns
 from linnetwood.calls.routebook import Service
-from linnetwood.calls.standing import Report, Standing
+from linnetwood.calls.endpointstats import Report, EndpointStats
 from linnetwood.core.options import Decisions
 from linnetwood.fleet.members import place_hash
 from linnetwood.lab.sheets import MODEL, SHEETS, Kind, Sheet
@@ -113,7 +113,7 @@
 
     __slots__ = ('active', 'busy', 'figures', 'waiting')
 
-    def __init__(self, figures: EngineFigures) -> None:
+    def __init__(self, figures: EngineProfile) -> None:
         self.figures = figures
         self.waiting: deque[_Call] = deque()
         self.active: list[_Call] = []
@@ -136,8 +136,12 @@
             budget -= read
         writing = [one for one in self.active if not one.unread]
         figures = self.figures
-        steps_s = figures.stride * figures.step(len(writing)) if writing else 0
-        read_s = (_CHUNK_TOKENS - budget) / figures.read_per_s
+        steps_s = (
+            figures.steps_per_pass * figures.decode_step_s(len(writing))
+            if writing
+            else 0
+        )
+        read_s = (_CHUNK_TOKENS - budget) / figures.prefill_tokens_per_s
         return steps_s + read_s, writing
 
     def _next(self) -> _Call:
@@ -201,7 +205,7 @@
         self._engines = {host: _Engine(self._figures) for host in self._places}
         directory = Directory()
         for place in self._places.items():
-            directory.listed(_listed(*place, self._figures.slots))
+            directory.update(_listed(*place, self._figures.slots))
         self._hearers: dict[str, list[Chooser]] = {
             host: [] for host in self._places
         }
@@ -232,8 +236,8 @@
         directory: Directory,
     ) -> tuple[Chooser, str]:
         chooser = Chooser(directory, Random(me))
-        heard = draw(me, zone, self._places)
-        chooser.candidates.hear(heard)
+        heard = select_hosts(me, zone, self._places)
+        chooser.candidates.prefer_hosts(heard)
         for host in heard:
             self._hearers[host].append(chooser)
         ways = self._fleet.decisions
@@ -269,22 +273,25 @@
         """Decide on a call as an entry does; it may come back once."""
         chooser, zone = self._rng.choice(list(self._pressed()))
         lateness = self._lateness[chooser]
-        need = Need(
+        requirements = Requirements(
             self._pool,
             zone,
             kind.prompt,
             MODEL,
-            enough_s=kind.target_s
-            - lateness.allowed_s(kind.target_s, self._now),
-            lot=place_hash(str(self._rng.random())),
+            acceptable_wait_s=kind.target_s
+            - lateness.margin_s(kind.target_s, self._now),
+            sample_number=place_hash(str(self._rng.random())),
         )
-        choice = chooser.choose(need, (), self._now)
+        choice = chooser.choose(requirements, (), self._now)
         wait_s = came_at + self._fleet.patience_s - self._now
         said = Said(str(kind.prompt), wait_s, kind.target_s)
         first = self._first_tries[chooser].is_first(said, self._now)
         if choice is not None and not first:
             choice = self._left_for_returns(chooser, choice)
-        urgent = choice is not None and choice.wait_s <= need.enough_s
+        urgent = (
+            choice is not None
+            and choice.wait_s <= requirements.acceptable_wait_s
+        )
         if urgent:
             self._returns[chooser].admitted(self._now)
         if choice is None or not (urgent or self._has_room(chooser, choice)):
@@ -292,23 +299,23 @@
             return
         call = _Call(kind, came_at, chooser, choice.wait_s, urgent=urgent)
         call.asked_at = self._now
-        self._send(choice.endpoint.endpoint, call)
+        self._send(choice.endpoint.endpoint_id, call)
 
     def _left_for_returns(
         self,
         chooser: Chooser,
         choice: Choice,
     ) -> Choice | None:
-        standing = chooser.standing(choice.endpoint.life)
-        taken = sum(standing.work(self._now))
+        stats = chooser.stats_of(choice.endpoint.incarnation_id)
+        taken = sum(stats.estimate_work(self._now))
         room = RETURN_ROOM[self._fleet.decisions.return_room]
         return choice if room(Place(taken, self._figures.slots)) else None
 
     def _has_room(self, chooser: Chooser, choice: Choice) -> bool:
         if not self._fleet.patience_s:
             return False
-        standing = chooser.standing(choice.endpoint.life)
-        waiting, running = standing.work(self._now)
+        stats = chooser.stats_of(choice.endpoint.incarnation_id)
+        waiting, running = stats.estimate_work(self._now)
         return waiting + running < self._figures.slots - 1
 
     def _refuse(
@@ -336,9 +343,9 @@
 
     def _send(self, host: str, call: _Call) -> None:
         self.outcome.sent[host, int(self._now)] += 1
-        standing = call.chooser.standing(host)
-        standing.sent()
-        _count_waiting(standing, call, 1)
+        stats = call.chooser.stats_of(host)
+        stats.record_sent()
+        _count_waiting(stats, call, 1)
         engine = self._engines[host]
         engine.waiting.append(call)
         if not engine.busy:
@@ -354,12 +361,12 @@
     def _passed(self, host: str, writing: list[_Call]) -> None:
         for call in writing:
             if not call.begun:
-                _count_waiting(call.chooser.standing(host), call, -1)
+                _count_waiting(call.chooser.stats_of(host), call, -1)
                 self._begin(call)
-            call.left -= self._figures.stride
+            call.left -= self._figures.steps_per_pass
             if call.left <= 0:
                 self._engines[host].active.remove(call)
-                call.chooser.standing(host).ended()
+                call.chooser.stats_of(host).record_ended()
         self._pass(host)
 
     def _begin(self, call: _Call) -> None:
@@ -373,7 +380,7 @@
             seen_s = self._now - call.asked_at
             self.outcome.errors_s.append(abs(seen_s - call.predicted_s))
             lateness = self._lateness[call.chooser]
-            lateness.seen(call.predicted_s, seen_s, self._now)
+            lateness.record(call.predicted_s, seen_s, self._now)
 
     def _report(self, host: str) -> None:
         told = self._engines[host].report()
@@ -385,15 +392,15 @@
             *told,
             1,
             changing=False,
-            heard_at=self._now,
-            every_s=self._fleet.every_s,
+            received_at=self._now,
+            interval_s=self._fleet.every_s,
         )
         for chooser in self._hearers[host]:
-            chooser.standing(host).heard(report)
+            chooser.stats_of(host).record_report(report)
 
 
-def _listed(host: str, zone: str, slots: int) -> Listed:
-    return Listed(
+def _listed(host: str, zone: str, slots: int) -> Endpoint:
+    return Endpoint(
         host,
         'pool',
         host,
@@ -405,11 +412,11 @@
     )
 
 
-def _count_waiting(standing: Standing, call: _Call, change: int) -> None:
+def _count_waiting(stats: EndpointStats, call: _Call, change: int) -> None:
     if call.urgent:
-        standing.urgent_waiting += change
+        stats.urgent_waiting += change
     else:
-        standing.late_waiting += change
+        stats.late_waiting += change
 
 
 def _quantile(found: list[float], share: float) -> float:
--- a/src/linnetwood/lab/sheets.py
+++ b/src/linnetwood/lab/sheets.py
@@ -4,20 +4,20 @@
 from types import MappingProxyType
 from typing import Final
 
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.engine import EngineProfile
 
 MODEL = 'm'
 
-LARGE = EngineFigures(
+LARGE = EngineProfile(
     slots=8,
     step_s=0.0139,
-    per_call_s=0.0000348,
-    context_s_per_k=0.0000483,
-    read_per_s=13800,
-    pairs_s_per_m=0.00177,
-    stride=5,
-    usual_prompt=1006,
-    usual_answer=70,
+    step_s_per_call=0.0000348,
+    step_s_per_k_context=0.0000483,
+    prefill_tokens_per_s=13800,
+    attention_s_per_m_pairs=0.00177,
+    steps_per_pass=5,
+    typical_prompt_tokens=1006,
+    typical_answer_tokens=70,
     kv_tokens=317000,
     models=(MODEL,),
 )
@@ -37,7 +37,7 @@
 class Sheet:
     """Engines and calls by the figures of a deployment's pages."""
 
-    figures: EngineFigures
+    figures: EngineProfile
     kinds: tuple[Kind, ...]
 
 
@@ -56,12 +56,12 @@
                 LARGE,
                 slots=12,
                 step_s=0.00887,
-                per_call_s=0.0000388,
-                context_s_per_k=0.0000227,
-                read_per_s=19100,
-                pairs_s_per_m=0.00147,
-                usual_prompt=952,
-                usual_answer=98,
+                step_s_per_call=0.0000388,
+                step_s_per_k_context=0.0000227,
+                prefill_tokens_per_s=19100,
+                attention_s_per_m_pairs=0.00147,
+                typical_prompt_tokens=952,
+                typical_answer_tokens=98,
                 kv_tokens=1180000,
             ),
             (
@@ -75,9 +75,9 @@
                 LARGE,
                 slots=16,
                 step_s=0.00927,
-                read_per_s=20700,
-                usual_prompt=966,
-                usual_answer=92,
+                prefill_tokens_per_s=20700,
+                typical_prompt_tokens=966,
+                typical_answer_tokens=92,
             ),
             (
                 Kind(1330, 100, 0.506, 31),
--- a/src/linnetwood/platform/endboard.py
+++ b/src/linnetwood/platform/endboard.py
@@ -120,4 +120,4 @@
 
 def end_key(end: End) -> str:
     """Give the key under which an end stands."""
-    return f'{records.END_PREFIX}{end.likeness}/{end.life}'
+    return f'{records.END_PREFIX}{end.likeness}/{end.incarnation_id}'
--- a/src/linnetwood/platform/feeds.py
+++ b/src/linnetwood/platform/feeds.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from types import MappingProxyType
 
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.routebook import RouteBook
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import ConfigError
@@ -164,10 +164,10 @@
         """Take in the whole list."""
         spoilt = functools.partial(self._spoilt, found.records)
         fresh = {
-            one.endpoint: self._placed(one, _age_s(one, found))
+            one.endpoint_id: self._placed(one, _age_s(one, found))
             for one in endpoints(found, spoilt)
         }
-        self._directory.replaced(fresh, self._clock.now())
+        self._directory.replace_all(fresh, self._clock.now())
         self._changed()
 
     def changed(self, changes: tuple[Change, ...]) -> None:
@@ -178,13 +178,13 @@
 
     def away(self) -> None:
         """Doubt that what goes missing now is gone."""
-        self._directory.list_away(self._clock.now())
+        self._directory.note_outage(self._clock.now())
 
     def _change(self, change: Change) -> None:
         if change.record is None:
             name = change.key.removeprefix(records.ENDPOINT_PREFIX)
             log(Event.ENDPOINT_GONE, endpoint=name)
-            self._directory.dropped(name, self._clock.now())
+            self._directory.mark_removed(name, self._clock.now())
             return
         try:
             one = records.endpoint(change.key, change.record)
@@ -193,7 +193,7 @@
             return
         log(
             Event.ENDPOINT_LISTED,
-            endpoint=one.endpoint,
+            endpoint=one.endpoint_id,
             service=one.service,
             address=f'{one.host}:{one.port}',
             ready=one.ready,
@@ -201,13 +201,13 @@
             born=one.born,
             revision=change.record.revision,
         )
-        self._directory.listed(self._placed(one, change.age_s))
+        self._directory.update(self._placed(one, change.age_s))
 
-    def _placed(self, one: Listed, age_s: float) -> Listed:
+    def _placed(self, one: Endpoint, age_s: float) -> Endpoint:
         """Add the region, and note for how long it is cold yet."""
         if one.cold_s > age_s:
             until = self._clock.now() + one.cold_s - age_s
-            self._directory.cold(one.life, until)
+            self._directory.mark_cold(one.incarnation_id, until)
         region = self._regions.get(one.zone, '')
         return dataclasses.replace(one, region=region)
 
@@ -219,13 +219,13 @@
     ) -> None:
         """Use nothing that stood under the key: nobody vouches for it."""
         self._ignored.note(key, found[key], exc)
-        self._directory.spoilt(key.removeprefix(records.ENDPOINT_PREFIX))
+        self._directory.discard(key.removeprefix(records.ENDPOINT_PREFIX))
 
 
 def endpoints(
     found: Snapshot,
     spoilt: Callable[[str, ConfigError], None] | None = None,
-) -> Iterator[Listed]:
+) -> Iterator[Endpoint]:
     """Yield the entries of endpoints that can be read; tell of the others."""
     for key, record in found.records.items():
         try:
@@ -235,9 +235,9 @@
                 spoilt(key, exc)
 
 
-def _age_s(one: Listed, found: Snapshot) -> float:
+def _age_s(one: Endpoint, found: Snapshot) -> float:
     """Give since when an entry stands, as far as anybody saw it come."""
-    age_s = found.ages.get(f'{records.ENDPOINT_PREFIX}{one.endpoint}', 0)
+    age_s = found.ages.get(f'{records.ENDPOINT_PREFIX}{one.endpoint_id}', 0)
     return age_s if math.isfinite(age_s) else 0
 
 
--- a/src/linnetwood/platform/records.py
+++ b/src/linnetwood/platform/records.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from linnetwood.calls.directory import Listed
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.directory import Endpoint
+from linnetwood.calls.engine import EngineProfile
 from linnetwood.calls.routebook import (
     CallLimits,
     Organisation,
@@ -53,16 +53,16 @@
     return said['model'], said['version']
 
 
-def endpoint(key: str, record: Record) -> Listed:
+def endpoint(key: str, record: Record) -> Endpoint:
     """Decode a server's entry, or raise ConfigError."""
     said = checked.read(record.payload, tables.ENDPOINT, 'endpoint-malformed')
     return _endpoint(key.removeprefix(ENDPOINT_PREFIX), said)
 
 
-def _endpoint(name: str, said: Mapping[str, Any]) -> Listed:
+def _endpoint(name: str, said: Mapping[str, Any]) -> Endpoint:
     host, port = address(said['address'])
-    return Listed(
-        endpoint=name,
+    return Endpoint(
+        endpoint_id=name,
         service=said['service'],
         host=host,
         port=port,
@@ -135,18 +135,18 @@
     )
 
 
-def _engine(said: Mapping[str, Any]) -> EngineFigures:
+def _engine(said: Mapping[str, Any]) -> EngineProfile:
     usual = said.get('usual', {})
-    return EngineFigures(
+    return EngineProfile(
         slots=int(said['slots']),
         step_s=said['step_ms'] / _MILLISECONDS,
-        per_call_s=said.get('per_seq_ms', 0) / _MILLISECONDS,
-        context_s_per_k=said.get('context_per_k', 0) / _MILLISECONDS,
-        read_per_s=float(said['read_per_s']),
-        pairs_s_per_m=said.get('pairs_per_m', 0) / _MILLISECONDS,
-        stride=int(said.get('stride', 1)),
-        usual_prompt=int(usual.get('prompt', 0)),
-        usual_answer=int(usual.get('answer', 0)),
+        step_s_per_call=said.get('per_seq_ms', 0) / _MILLISECONDS,
+        step_s_per_k_context=said.get('context_per_k', 0) / _MILLISECONDS,
+        prefill_tokens_per_s=float(said['read_per_s']),
+        attention_s_per_m_pairs=said.get('pairs_per_m', 0) / _MILLISECONDS,
+        steps_per_pass=int(said.get('stride', 1)),
+        typical_prompt_tokens=int(usual.get('prompt', 0)),
+        typical_answer_tokens=int(usual.get('answer', 0)),
         kv_tokens=int(said.get('kv_capacity_tokens', 0)),
         models=tuple(one['name'] for one in said.get('models', ())),
         layers=int(said.get('layers', 1)),
--- a/src/linnetwood/programs/entry.py
+++ b/src/linnetwood/programs/entry.py
@@ -110,7 +110,7 @@
 
     def configured(self, configuration: Configuration) -> None:
         """Put a newer configuration in force."""
-        self.routes.configured(configuration.deployment)
+        self.routes.apply_config(configuration.deployment)
         self.gate.configured(configuration.deployment)
         self.desk.deployment = configuration.deployment
 
@@ -122,11 +122,11 @@
         """Route by the newest statement."""
         self.routes.member_changed(member)
         if member.role == ENTRY:
-            self.routes.entries = self._entries()
+            self.routes.entry_count = self._entries()
 
     def load_heard(self, vm: str, load: int) -> None:
         """Choose by the newest word of an endpoint's load."""
-        self.routes.load(vm).report(load, self.node.clock.now())
+        self.routes.load(vm).record_report(load, self.node.clock.now())
 
     def _entries(self) -> int:
         """Count the entries that share the endpoints, at least this one."""
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -95,7 +95,7 @@
             cfg.zone,
             self._tellers,
         )
-        self.dispatcher.noticed = self.reports.noticed
+        self.dispatcher.noticed = self.reports.forward_notice
         self.vigil = Vigil(
             clock,
             lambda: self._following.heard_at,
@@ -112,8 +112,8 @@
         )
         metrics.gauge(Metric.CONFIG_VERSION, lambda: self.book.version)
         metrics.gauge(Metric.STORE_AGE_S, self.vigil.store_age_s)
-        chooser.entries = lambda: self.reports.entries
-        ends.entries = chooser.entries
+        chooser.entry_count = lambda: self.reports.entry_count
+        ends.entries = chooser.entry_count
         self._figures = FiguresPage(metrics)
         wake = self.reports.wake
         ignored = Ignored(lambda: metrics.count(Metric.RECORDS_IGNORED))
@@ -135,11 +135,11 @@
             feed,
             self._tellers,
             rng,
-            {FrameKind.PEERS_REQUEST: self.reports.greetings.peers.serve},
-            self.reports.ask,
+            {FrameKind.PEERS_REQUEST: self.reports.subscriptions.peers.serve},
+            self.reports.request_neighbours,
         )
         self._following = self._news.following
-        self.reports.greetings.revision = lambda: self._following.revision
+        self.reports.subscriptions.revision = lambda: self._following.revision
         self._callers = open_server(self.front, self.book.limits)
         self._servers: list[HTTPServer] = []
 
@@ -204,7 +204,7 @@
 
     def _share_retries(self) -> None:
         # All entries share one budget without talk: each takes its part.
-        entries = max(1, self.reports.entries)
+        entries = max(1, self.reports.entry_count)
         self.dispatcher.retry_bounds = RetryBounds(
             self._cfg.retry_share * _RETRY_PART,
             max(1, self._cfg.retry_extra * _RETRY_PART / entries),
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator
 from random import Random
 
-from linnetwood.calls.candidates import NEAR_MOST
+from linnetwood.calls.candidates import MAX_SAME_ZONE
 from linnetwood.core.clock import Clock
 from linnetwood.fleet.hosts import pack
 from linnetwood.fleet.lastsaid import LastSaid
@@ -218,7 +218,7 @@
             return False
         # Where each process hears a part of the entries, and each entry hears
         # a part of the processes, so many more have to tell.
-        part = min(1, NEAR_MOST / (own or NEAR_MOST))
+        part = min(1, MAX_SAME_ZONE / (own or MAX_SAME_ZONE))
         by = _NEIGHBOURS_BY / part**2
         return self._rng.random() * (own or len(beside)) <= by
 
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -8,10 +8,14 @@
 from collections import Counter
 from random import Random
 
-from linnetwood.calls.candidates import HEARD_LEAST, NEAR_MOST, draw
-from linnetwood.calls.choice import Chooser, Need
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.entrycount import UNKNOWN_ENTRIES, EntryCount
+from linnetwood.calls.candidates import (
+    MIN_SUBSCRIBED,
+    MAX_SAME_ZONE,
+    select_hosts,
+)
+from linnetwood.calls.choice import Chooser, Requirements
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.entrycount import ASSUMED_ENTRIES, EntryCount
 from linnetwood.fleet.members import place_hash
 from tests.test_directory import FIGURES, POOL, report
 
@@ -28,7 +32,7 @@
     entries, engines, zones = size
     places = placed('e', engines, zones)
     return {
-        me: draw(me, zone, places)
+        me: select_hosts(me, zone, places)
         for me, zone in placed('a', entries, zones).items()
     }
 
@@ -41,8 +45,8 @@
         for size in SIZES:
             with self.subTest(size=size):
                 most = max(len(one) for one in drawn(size).values())
-                self.assertLessEqual(most, NEAR_MOST + HEARD_LEAST)
-                self.assertGreaterEqual(most, min(size[1], HEARD_LEAST))
+                self.assertLessEqual(most, MAX_SAME_ZONE + MIN_SUBSCRIBED)
+                self.assertGreaterEqual(most, min(size[1], MIN_SUBSCRIBED))
 
     def test_each_engine_is_heard_by_about_as_many(self) -> None:
         """Engines are heard by a quarter of the mean to twice the mean."""
@@ -85,18 +89,22 @@
         before = placed('e', 60, 5)
         after = {**before, 'new': 'z0'}
         for me, zone in placed('a', 98, 5).items():
-            gone = set(draw(me, zone, before)) - set(draw(me, zone, after))
+            gone = set(select_hosts(me, zone, before)) - set(
+                select_hosts(me, zone, after)
+            )
             self.assertLessEqual(len(gone), 1)
 
     def test_a_zone_without_engines(self) -> None:
         """Its entries draw alike, so that some engine hears all of them."""
         places = {'e1': 'z1', 'e2': 'z2'}
-        found = {tuple(draw(me, 'z3', places)) for me in ('a1', 'a2', 'a3')}
+        found = {
+            tuple(select_hosts(me, 'z3', places)) for me in ('a1', 'a2', 'a3')
+        }
         self.assertEqual(len(found), 1)
 
     def test_nobody_there(self) -> None:
         """Where there are no engines none is heard."""
-        self.assertEqual(draw('a', 'z1', {}), {})
+        self.assertEqual(select_hosts('a', 'z1', {}), {})
 
 
 class WhereCallsGoTest(unittest.TestCase):
@@ -106,8 +114,8 @@
         self.directory = Directory()
         self.places = placed('e', 60, 5)
         for host, zone in self.places.items():
-            self.directory.listed(
-                Listed(
+            self.directory.update(
+                Endpoint(
                     host,
                     POOL.name,
                     host,
@@ -123,12 +131,14 @@
     def chooser(self, me: str, zone: str) -> Chooser:
         """Give what an entry chooses by: true reports of what it hears."""
         chooser = Chooser(self.directory, Random(me))
-        heard = draw(me, zone, self.places)
-        chooser.candidates.hear(heard)
+        heard = select_hosts(me, zone, self.places)
+        chooser.candidates.prefer_hosts(heard)
         for host in heard:
             count = self.running[host]
             running = min(count, FIGURES.slots)
-            chooser.standing(host).heard(report(count - running, running, 10))
+            chooser.stats_of(host).record_report(
+                report(count - running, running, 10)
+            )
         return chooser
 
     def send(self, calls: int, zones: int) -> None:
@@ -140,12 +150,17 @@
         ]
         for number in range(calls):
             me, zone = entries[number % len(entries)]
-            need = Need(
-                POOL, zone, 900, 'm', enough_s=0.4, lot=place_hash(str(number))
+            requirements = Requirements(
+                POOL,
+                zone,
+                900,
+                'm',
+                acceptable_wait_s=0.4,
+                sample_number=place_hash(str(number)),
             )
-            choice = self.chooser(me, zone).choose(need, (), 10)
+            choice = self.chooser(me, zone).choose(requirements, (), 10)
             assert choice is not None
-            self.running[choice.endpoint.endpoint] += 1
+            self.running[choice.endpoint.endpoint_id] += 1
 
     def test_even_load(self) -> None:
         """Five calls an engine on all sides: none has over three more."""
@@ -168,27 +183,27 @@
     def test_the_rest_where_none_heard_will_do(self) -> None:
         """An engine that is not heard takes the call that no other can."""
         chooser = self.chooser('a0', 'z0')
-        heard = draw('a0', 'z0', self.places)
-        need = Need(POOL, 'z0', 900, 'm')
-        choice = chooser.choose(need, tuple(heard), 10)
+        heard = select_hosts('a0', 'z0', self.places)
+        requirements = Requirements(POOL, 'z0', 900, 'm')
+        choice = chooser.choose(requirements, tuple(heard), 10)
         assert choice is not None
-        self.assertNotIn(choice.endpoint.endpoint, heard)
+        self.assertNotIn(choice.endpoint.endpoint_id, heard)
         everyone = tuple(self.places)
-        self.assertIsNone(chooser.choose(need, everyone, 10))
+        self.assertIsNone(chooser.choose(requirements, everyone, 10))
 
     def test_an_engine_that_comes_or_drains_is_seen_at_once(self) -> None:
         """What was worked out of an older list is not used."""
         chooser = self.chooser('a0', 'z0')
-        need = Need(POOL, 'z0', 900, 'm')
-        heard = tuple(draw('a0', 'z0', self.places))
-        chooser.choose(need, (), 10)
+        requirements = Requirements(POOL, 'z0', 900, 'm')
+        heard = tuple(select_hosts('a0', 'z0', self.places))
+        chooser.choose(requirements, (), 10)
         for host in heard:
-            self.directory.listed(
-                Listed(host, POOL.name, host, 80, 'z0', 8, ready=False),
+            self.directory.update(
+                Endpoint(host, POOL.name, host, 80, 'z0', 8, ready=False),
             )
-        choice = chooser.choose(need, (), 10)
+        choice = chooser.choose(requirements, (), 10)
         assert choice is not None
-        self.assertNotIn(choice.endpoint.endpoint, heard)
+        self.assertNotIn(choice.endpoint.endpoint_id, heard)
 
 
 class EntryCountTest(unittest.TestCase):
@@ -197,8 +212,8 @@
     def test_counts(self) -> None:
         """The own zone's are averaged; others' only where there are none."""
         count = EntryCount()
-        self.assertEqual(count.entries, UNKNOWN_ENTRIES)
-        self.assertFalse(count.settle(0))
+        self.assertEqual(count.entries, ASSUMED_ENTRIES)
+        self.assertFalse(count.update(0))
         steps = (
             ('e1', 60, 0.0, False, 60),
             ('e2', 140, 0.0, False, 100),
@@ -208,20 +223,20 @@
         )
         for host, entries, now, near, expected in steps:
             with self.subTest(host=host):
-                count.told(host, entries, now, near=near)
-                count.settle(now)
+                count.record(host, entries, now, same_zone=near)
+                count.update(now)
                 self.assertEqual(count.entries, expected)
 
     def test_who_says_no_more_counts_no_more(self) -> None:
         """The last count stays where nobody is left to tell."""
         count = EntryCount()
-        count.told('e1', 50, 0, near=True)
-        count.told('e2', 70, 3, near=True)
-        self.assertTrue(count.settle(3))
+        count.record('e1', 50, 0, same_zone=True)
+        count.record('e2', 70, 3, same_zone=True)
+        self.assertTrue(count.update(3))
         self.assertEqual(count.entries, 60)
-        count.settle(5)
+        count.update(5)
         self.assertEqual(count.entries, 70)
-        self.assertFalse(count.settle(9))
+        self.assertFalse(count.update(9))
         self.assertEqual(count.entries, 70)
 
 
--- a/tests/test_coldgate.py
+++ b/tests/test_coldgate.py
@@ -8,7 +8,7 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.coldgate import ColdGate
+from linnetwood.calls.warmuplimiter import WarmupLimiter
 
 PER_S = 26.0
 ALLOWED = PER_S * 1.5 + 5
@@ -26,15 +26,15 @@
         self.rng = Random(seed)
         self.gates = [self.gate() for _ in range(count)]
 
-    def gate(self) -> ColdGate:
+    def gate(self) -> WarmupLimiter:
         """Give a new entry's gate."""
-        return ColdGate(Random(self.rng.random()), lambda: self.told)
+        return WarmupLimiter(Random(self.rng.random()), lambda: self.told)
 
     def step(self, now: float, share: float = 1) -> None:
         """Let a share of the entries have a call."""
         for gate in self.gates:
-            if self.rng.random() < share and gate.opens('i', PER_S, now):
-                gate.sent('i', PER_S, now)
+            if self.rng.random() < share and gate.may_send('i', PER_S, now):
+                gate.record_sent('i', PER_S, now)
                 self.sent.append(now)
 
     def most(self) -> int:
@@ -112,10 +112,10 @@
 
     def test_what_is_gone_is_forgotten(self) -> None:
         """A gate keeps nothing of endpoints that are no longer listed."""
-        gate = ColdGate(Random(1), lambda: 1)
-        gate.sent('i', PER_S, 0)
-        gate.keep(set())
-        self.assertEqual(gate._next_at, {})
+        gate = WarmupLimiter(Random(1), lambda: 1)
+        gate.record_sent('i', PER_S, 0)
+        gate.forget_unlisted(set())
+        self.assertEqual(gate._next_send_at, {})
 
 
 if __name__ == '__main__':
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -33,7 +33,7 @@
     TRUSTED_ANSWERED_S,
     Crashes,
     End,
-    life_digest,
+    incarnation_digest,
 )
 
 FATAL = 'fatal'
@@ -59,7 +59,7 @@
 class Endpoint:
     """One endpoint: its life, until when it is away, and what it runs."""
 
-    life: int = 0
+    incarnation: int = 0
     away_until: float = 0
     ends_at: float | None = None
     ends_by: str = ''
@@ -170,9 +170,9 @@
         one.away_until = now + BACK_S
         one.ends_at = None
         self.lives += 1
-        life = life_digest(f'i-{self.lives}')
+        incarnation_id = incarnation_digest(f'i-{self.lives}')
         for likeness, entry, _, _ in running:
-            end = End(likeness, life)
+            end = End(likeness, incarnation_id)
             if self.entries[entry].ended(end, now):
                 self.told.append((now + KNOWN_S, end, True))
         for row in running:
@@ -260,10 +260,10 @@
     def setUp(self) -> None:
         self.crashes = Crashes()
 
-    def end(self, *lives: str, at: float = 0) -> None:
+    def end(self, *incarnation_ids: str, at: float = 0) -> None:
         """Let lives end under calls that are alike."""
-        for life in lives:
-            self.crashes.ended(End(FATAL, life), at)
+        for incarnation_id in incarnation_ids:
+            self.crashes.ended(End(FATAL, incarnation_id), at)
 
     def test_one_end_is_borne(self) -> None:
         """Whoever was near by is tried elsewhere."""
@@ -359,15 +359,15 @@
         """A call is refused where two lives ended since its last answer."""
         crashes = Crashes()
         held: dict[str, set[str]] = {'x': set(), 'y': set()}
-        for what, likeness, life in steps:
-            end = End(likeness, life)
+        for what, likeness, incarnation_id in steps:
+            end = End(likeness, incarnation_id)
             if what == 'ended':
-                news = life not in held[likeness]
+                news = incarnation_id not in held[likeness]
                 self.assertEqual(crashes.ended(end, 0), news)
-                held[likeness].add(life)
+                held[likeness].add(incarnation_id)
             elif what == 'withdrawn':
                 crashes.withdrawn(end)
-                held[likeness].discard(life)
+                held[likeness].discard(incarnation_id)
             else:
                 crashes.answered(likeness)
                 held[likeness].clear()
--- a/tests/test_crashtelling.py
+++ b/tests/test_crashtelling.py
@@ -15,12 +15,12 @@
 from collections.abc import Sequence
 from random import Random
 
-from linnetwood.calls.crashes import End, life_digest
+from linnetwood.calls.crashes import End, incarnation_digest
 from linnetwood.calls.crashtelling import EndTeller
 from linnetwood.core.errors import StoreError
 from linnetwood.lab.virtual import run
 
-END = End('c0' * 12, life_digest('i-1'))
+END = End('c0' * 12, incarnation_digest('i-1'))
 ENTRIES = 410
 ENDPOINTS = 60
 CALLS = 16
@@ -138,9 +138,9 @@
             fleet = Fleet()
             rng = Random(3)
             for place in range(ENDPOINTS):
-                life = life_digest(f'i-{place}')
+                incarnation_id = incarnation_digest(f'i-{place}')
                 for call in range(CALLS):
-                    end = End(f'{place}-{call}', life)
+                    end = End(f'{place}-{call}', incarnation_id)
                     rng.choice(fleet.tellers).share(end)
             await asyncio.sleep(30)
             await fleet.close()
@@ -157,7 +157,7 @@
         async def play() -> Fleet:
             fleet = Fleet()
             for call in range(CALLS):
-                fleet.tellers[call].share(End(f'l-{call}', END.life))
+                fleet.tellers[call].share(End(f'l-{call}', END.incarnation_id))
             await asyncio.sleep(30)
             await fleet.close()
             return fleet
--- a/tests/test_crashwatch.py
+++ b/tests/test_crashwatch.py
@@ -5,18 +5,18 @@
 from collections.abc import Awaitable, Callable, Sequence
 from random import Random
 
-from linnetwood.calls.crashes import Crashes, End, life_digest
+from linnetwood.calls.crashes import Crashes, End, incarnation_digest
 from linnetwood.calls.crashtelling import EndTeller
 from linnetwood.calls.crashwatch import CrashWatch
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.core.errors import StoreError
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.lab.virtual import VirtualClock, run
 from linnetwood.platform.endboard import EndFeed, end_key
 
 LIKENESS = 'c0' * 12
-ONE = Listed('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True, born=5)
-END = End(LIKENESS, life_digest(ONE.life))
+ONE = Endpoint('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True, born=5)
+END = End(LIKENESS, incarnation_digest(ONE.incarnation_id))
 
 
 class Told:
@@ -60,7 +60,7 @@
         self.looks = list(refuses)
         self.crashes = Crashes()
         self.directory = Directory()
-        self.directory.listed(ONE)
+        self.directory.update(ONE)
         self.told = Told()
         self.watch = CrashWatch(
             self.crashes,
@@ -87,18 +87,18 @@
         self,
         *refuses: bool,
         heard_s: float = 0,
-        before: Listed | None = None,
-        after: Listed | None = None,
+        before: Endpoint | None = None,
+        after: Endpoint | None = None,
     ) -> int:
         """Give how many ends are held against the call."""
 
         async def play() -> int:
             scene = Scene(*refuses)
             if before is not None:
-                scene.directory.listed(before)
+                scene.directory.update(before)
             if after is not None:
                 loop = asyncio.get_running_loop()
-                loop.call_later(2, scene.directory.listed, after)
+                loop.call_later(2, scene.directory.update, after)
             return await scene.lose(heard_s)
 
         return run(play())
@@ -115,21 +115,23 @@
     def test_another_life_at_the_address(self) -> None:
         """Under its id or another one: the earlier life has ended."""
         for other in (
-            Listed('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, True, born=9),
-            Listed('i-2', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True),
+            Endpoint('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, True, born=9),
+            Endpoint('i-2', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True),
         ):
-            with self.subTest(other=other.endpoint):
+            with self.subTest(other=other.endpoint_id):
                 came = self.ends(after=other)
                 self.assertEqual(came, 1)
 
     def test_an_address_that_others_use_now(self) -> None:
         """Another service says nothing of this one."""
-        other = Listed('i-9', 'desk', '10.0.0.1', 80, 'z1', 8, ready=True)
+        other = Endpoint('i-9', 'desk', '10.0.0.1', 80, 'z1', 8, ready=True)
         self.assertEqual(self.ends(after=other), 0)
 
     def test_an_end_that_was_told_beforehand(self) -> None:
         """A drain ends calls that outlast it; that is no crash."""
-        leaving = Listed('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, False, born=5)
+        leaving = Endpoint(
+            'i-1', 'pool', '10.0.0.1', 80, 'z1', 8, False, born=5
+        )
         came = self.ends(True, before=leaving)
         self.assertEqual(came, 0)
 
@@ -138,7 +140,7 @@
 
         async def play() -> int:
             scene = Scene(True)
-            scene.directory.dropped('i-1', 0)
+            scene.directory.mark_removed('i-1', 0)
             return await scene.lose()
 
         self.assertEqual(run(play()), 0)
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -13,7 +13,7 @@
     DirectDispatcher,
     RetryBounds,
 )
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.routebook import Repeat, Route, Service, Share
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Ending, Outcome
@@ -109,11 +109,11 @@
             self.servers.append(server)
             port = await server.start()
             name = f'i-{number}'
-            self.directory.listed(
-                Listed(name, 'desk', HOST, port, 'z1', 6, ready=True),
+            self.directory.update(
+                Endpoint(name, 'desk', HOST, port, 'z1', 6, ready=True),
             )
             for _ in range(number):
-                self.chooser.standing(name).sent()
+                self.chooser.stats_of(name).record_sent()
 
     async def call(
         self,
@@ -192,15 +192,15 @@
             writer: asyncio.StreamWriter,
         ) -> None:
             # It is listed again before the caller's connection has gone.
-            self.directory.listed(dataclasses.replace(listed, born=5))
+            self.directory.update(dataclasses.replace(listed, born=5))
             await reset(reader, writer)
 
         await self.serve(crash)
-        listed = self.directory.ready('desk', 0)[0]
+        listed = self.directory.eligible('desk', 0)[0]
         for repeat, runs in ((Repeat.NEVER, 1), (Repeat.MAY, 2)):
             with self.subTest(repeat=repeat):
                 self.servers[0].requests.clear()
-                self.directory.listed(listed)
+                self.directory.update(listed)
                 ending, _ = await self.call(repeat)
                 self.assertEqual(ending.outcome, Outcome.UNKNOWN)
                 self.assertEqual(self.runs(), runs)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -4,31 +4,31 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.choice import Chooser, Need
-from linnetwood.calls.directory import HELD_AFTER_OUTAGE_S, Directory, Listed
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.choice import Chooser, Requirements
+from linnetwood.calls.directory import KEPT_AFTER_OUTAGE_S, Directory, Endpoint
+from linnetwood.calls.engine import EngineProfile
 from linnetwood.calls.routebook import Service
-from linnetwood.calls.standing import Report, Standing
+from linnetwood.calls.endpointstats import Report, EndpointStats
 
-FIGURES = EngineFigures(
+FIGURES = EngineProfile(
     slots=16,
     step_s=0.00927,
-    per_call_s=0.0000232,
-    context_s_per_k=0.0000322,
-    read_per_s=20700,
-    pairs_s_per_m=0.00118,
-    stride=5,
-    usual_prompt=979,
-    usual_answer=92,
+    step_s_per_call=0.0000232,
+    step_s_per_k_context=0.0000322,
+    prefill_tokens_per_s=20700,
+    attention_s_per_m_pairs=0.00118,
+    steps_per_pass=5,
+    typical_prompt_tokens=979,
+    typical_answer_tokens=92,
     kv_tokens=317000,
     models=('m',),
 )
 POOL = Service('pool', 100, FIGURES)
 
 
-def listed(name: str, *, ready: bool = True, version: int = 1) -> Listed:
+def listed(name: str, *, ready: bool = True, version: int = 1) -> Endpoint:
     """Give an entry of an engine."""
-    return Listed(
+    return Endpoint(
         name,
         'pool',
         '10.0.0.1',
@@ -42,7 +42,7 @@
 
 def report(waiting: int, running: int, at: float, serving: int = 1) -> Report:
     """Give an engine's own word."""
-    return Report(waiting, running, serving, changing=False, heard_at=at)
+    return Report(waiting, running, serving, changing=False, received_at=at)
 
 
 class DirectoryTest(unittest.TestCase):
@@ -50,28 +50,28 @@
 
     def setUp(self) -> None:
         self.directory = Directory()
-        self.directory.listed(listed('i-1'))
-        self.directory.listed(listed('i-2', ready=False))
+        self.directory.update(listed('i-1'))
+        self.directory.update(listed('i-2', ready=False))
 
     def names(self, now: float = 100) -> list[str]:
         """Give who takes new work."""
-        return [one.endpoint for one in self.directory.ready('pool', now)]
+        return [one.endpoint_id for one in self.directory.eligible('pool', now)]
 
     def test_draining_takes_nothing_new(self) -> None:
         """Only ready endpoints of the service are given."""
         self.assertEqual(self.names(), ['i-1'])
-        self.assertEqual(self.directory.ready('desk', 100), [])
+        self.assertEqual(self.directory.eligible('desk', 100), [])
 
     def test_gone_at_once_while_the_store_is_there(self) -> None:
         """A dropped entry takes nothing from then on."""
-        self.directory.dropped('i-1', 100)
+        self.directory.mark_removed('i-1', 100)
         self.assertEqual(self.names(), [])
 
     def test_lapsed_entry_is_held_after_an_outage(self) -> None:
         """An endpoint that lives writes its entry again in time."""
-        self.directory.list_away(100)
-        self.directory.dropped('i-1', 101)
-        held_until = 101 + HELD_AFTER_OUTAGE_S
+        self.directory.note_outage(100)
+        self.directory.mark_removed('i-1', 101)
+        held_until = 101 + KEPT_AFTER_OUTAGE_S
         self.assertEqual(self.names(held_until - 0.1), ['i-1'])
         self.assertEqual(self.names(held_until), [])
         self.directory.expire(held_until)
@@ -79,15 +79,15 @@
 
     def test_written_again_it_stays(self) -> None:
         """What came back is no longer doubted."""
-        self.directory.list_away(100)
-        self.directory.replaced({}, 101)
-        self.directory.listed(listed('i-1'))
+        self.directory.note_outage(100)
+        self.directory.replace_all({}, 101)
+        self.directory.update(listed('i-1'))
         self.directory.expire(200)
         self.assertEqual(self.names(), ['i-1'])
 
     def test_whole_list_replaces_the_old(self) -> None:
         """Entries that are not in it are gone."""
-        self.directory.replaced({'i-3': listed('i-3')}, 100)
+        self.directory.replace_all({'i-3': listed('i-3')}, 100)
         self.assertEqual(self.names(), ['i-3'])
 
 
@@ -98,42 +98,42 @@
         self.directory = Directory()
         self.chooser = Chooser(self.directory, Random(1))
         for name in ('i-1', 'i-2'):
-            self.directory.listed(listed(name))
+            self.directory.update(listed(name))
 
-    def chosen(self, need: Need, *tried: str) -> str:
+    def chosen(self, requirements: Requirements, *tried: str) -> str:
         """Choose at second 10."""
-        choice = self.chooser.choose(need, tried, 10)
-        return choice.endpoint.endpoint if choice else ''
+        choice = self.chooser.choose(requirements, tried, 10)
+        return choice.endpoint.endpoint_id if choice else ''
 
     def test_the_less_loaded_by_its_own_word(self) -> None:
         """A queue makes the other the choice."""
-        need = Need(POOL, 'z1', 1000, 'm')
-        self.chooser.standing('i-1').heard(report(8, 16, 10))
-        self.chooser.standing('i-2').heard(report(0, 3, 10))
-        self.assertEqual(self.chosen(need), 'i-2')
-        self.assertEqual(self.chosen(need, 'i-2'), 'i-1')
-        self.assertEqual(self.chosen(need, 'i-1', 'i-2'), '')
+        requirements = Requirements(POOL, 'z1', 1000, 'm')
+        self.chooser.stats_of('i-1').record_report(report(8, 16, 10))
+        self.chooser.stats_of('i-2').record_report(report(0, 3, 10))
+        self.assertEqual(self.chosen(requirements), 'i-2')
+        self.assertEqual(self.chosen(requirements, 'i-2'), 'i-1')
+        self.assertEqual(self.chosen(requirements, 'i-1', 'i-2'), '')
 
     def test_versions(self) -> None:
         """Empty engines, and those with another version, are left out."""
-        self.directory.listed(listed('i-1', version=0))
-        self.directory.listed(listed('i-2', version=2))
+        self.directory.update(listed('i-1', version=0))
+        self.directory.update(listed('i-2', version=2))
         cases = (
-            (Need(POOL, 'z1', 9, 'm'), 'i-2'),
-            (Need(POOL, 'z1', 9, 'm', least_version=3), ''),
-            (Need(POOL, 'z1', 9, 'm', exact_version=2), 'i-2'),
-            (Need(POOL, 'z1', 9, 'm', exact_version=1), ''),
+            (Requirements(POOL, 'z1', 9, 'm'), 'i-2'),
+            (Requirements(POOL, 'z1', 9, 'm', min_version=3), ''),
+            (Requirements(POOL, 'z1', 9, 'm', exact_version=2), 'i-2'),
+            (Requirements(POOL, 'z1', 9, 'm', exact_version=1), ''),
         )
-        for need, expected in cases:
-            with self.subTest(need=need):
-                self.assertEqual(self.chosen(need), expected)
+        for requirements, expected in cases:
+            with self.subTest(need=requirements):
+                self.assertEqual(self.chosen(requirements), expected)
 
     def test_a_report_tells_of_a_version_before_the_list(self) -> None:
         """The process beside the engine knows first."""
-        self.directory.listed(listed('i-1', version=0))
-        self.chooser.standing('i-1').heard(report(0, 0, 10, serving=2))
-        need = Need(POOL, 'z1', 9, 'm', least_version=2)
-        self.assertEqual(self.chosen(need), 'i-1')
+        self.directory.update(listed('i-1', version=0))
+        self.chooser.stats_of('i-1').record_report(report(0, 0, 10, serving=2))
+        requirements = Requirements(POOL, 'z1', 9, 'm', min_version=2)
+        self.assertEqual(self.chosen(requirements), 'i-1')
 
     def test_a_slow_way_closes_an_older_version_earlier(self) -> None:
         """By as much as the way is slower than usual, and only there."""
@@ -144,22 +144,28 @@
             (0.8, 10.6, 'i-1'),
             (0.8, 10.4, ''),
         ):
-            told = dataclasses.replace(report(0, 0, 10, serving=1), way_s=way_s)
-            self.chooser.standing('i-1').heard(told)
-            need = Need(POOL, 'z1', 9, 'm', closing=((2, at),))
-            exact = dataclasses.replace(need, exact_version=1)
+            told = dataclasses.replace(
+                report(0, 0, 10, serving=1), link_delay_s=way_s
+            )
+            self.chooser.stats_of('i-1').record_report(told)
+            requirements = Requirements(
+                POOL, 'z1', 9, 'm', version_deadlines=((2, at),)
+            )
+            exact = dataclasses.replace(requirements, exact_version=1)
             with self.subTest(way_s=way_s, at=at):
-                self.assertEqual(self.chosen(need, 'i-2'), expected)
+                self.assertEqual(self.chosen(requirements, 'i-2'), expected)
                 self.assertEqual(self.chosen(exact, 'i-2'), expected)
-                self.assertEqual(self.chosen(need, 'i-1'), 'i-2')
+                self.assertEqual(self.chosen(requirements, 'i-1'), 'i-2')
 
     def test_an_engine_that_fell_silent_may_be_on_a_slow_way(self) -> None:
         """Shortly before the bound no call goes to an older version there."""
-        self.chooser.standing('i-1').heard(report(0, 0, 9.5, serving=1))
+        self.chooser.stats_of('i-1').record_report(report(0, 0, 9.5, serving=1))
         for at, expected in ((10.7, ''), (10.9, 'i-1')):
-            need = Need(POOL, 'z1', 9, 'm', closing=((2, at),))
+            requirements = Requirements(
+                POOL, 'z1', 9, 'm', version_deadlines=((2, at),)
+            )
             with self.subTest(at=at):
-                self.assertEqual(self.chosen(need, 'i-2'), expected)
+                self.assertEqual(self.chosen(requirements, 'i-2'), expected)
 
     def test_an_engine_that_did_not_answer_may_be_on_a_slow_way(self) -> None:
         """Reports come from it, and calls to it may wait, until one answers.
@@ -171,33 +177,39 @@
         what calls there had shown was forgotten with the next report. What
         proved it: the attempts before, of which 9 in a row did not connect.
         """
-        standing = self.chooser.standing('i-1')
-        standing.unreachable(5)
-        standing.heard(report(0, 0, 10, serving=1))
+        stats = self.chooser.stats_of('i-1')
+        stats.record_unreachable(5)
+        stats.record_report(report(0, 0, 10, serving=1))
         self.assert_closed_early(1.7)
         # A call that was sent before says nothing, nor does one that waited.
-        standing.began(4.9, 0)
-        standing.began(9, 1)
+        stats.record_start(4.9, 0)
+        stats.record_start(9, 1)
         self.assert_closed_early(1.7)
-        standing.began(9, 0.1)
-        need = Need(POOL, 'z1', 9, 'm', closing=((2, 10.1),))
-        self.assertEqual(self.chosen(need, 'i-2'), 'i-1')
+        stats.record_start(9, 0.1)
+        requirements = Requirements(
+            POOL, 'z1', 9, 'm', version_deadlines=((2, 10.1),)
+        )
+        self.assertEqual(self.chosen(requirements, 'i-2'), 'i-1')
 
     def test_an_engine_that_is_heard_again_may_be_on_a_slow_way(self) -> None:
         """The same after a silence, also for who sent nothing meanwhile."""
-        standing = self.chooser.standing('i-1')
-        standing.heard(report(0, 0, 8, serving=1))
-        standing.heard(report(0, 0, 10, serving=1))
+        stats = self.chooser.stats_of('i-1')
+        stats.record_report(report(0, 0, 8, serving=1))
+        stats.record_report(report(0, 0, 10, serving=1))
         self.assert_closed_early(0.8)
-        standing.began(10, 0.1)
-        need = Need(POOL, 'z1', 9, 'm', closing=((2, 10.1),))
-        self.assertEqual(self.chosen(need, 'i-2'), 'i-1')
+        stats.record_start(10, 0.1)
+        requirements = Requirements(
+            POOL, 'z1', 9, 'm', version_deadlines=((2, 10.1),)
+        )
+        self.assertEqual(self.chosen(requirements, 'i-2'), 'i-1')
 
     def assert_closed_early(self, by_s: float) -> None:
         """An older version is closed at the first so long before the rest."""
         for at, expected in ((9.9 + by_s, ''), (10.1 + by_s, 'i-1')):
-            need = Need(POOL, 'z1', 9, 'm', closing=((2, at),))
-            self.assertEqual(self.chosen(need, 'i-2'), expected)
+            requirements = Requirements(
+                POOL, 'z1', 9, 'm', version_deadlines=((2, at),)
+            )
+            self.assertEqual(self.chosen(requirements, 'i-2'), expected)
 
     def test_an_engine_that_is_listed_again_is_not_taken_for_new(self) -> None:
         """The list loses who is out of touch, and tells of it again.
@@ -209,33 +221,37 @@
         entry. What proved it: the age of the report in each attempt's line,
         -1, and that of attempts before, 0.2 to 0.3 s.
         """
-        self.chooser.standing('i-1').heard(report(0, 0, 7, serving=1))
-        self.chooser.standing('i-2').heard(report(60, 16, 10, serving=1))
-        self.directory.dropped('i-1', 9)
-        self.chooser.forget(9.5)
-        self.directory.listed(listed('i-1'))
-        self.assertEqual(self.chosen(Need(POOL, 'z1', 9, 'm')), 'i-2')
-        need = Need(POOL, 'z1', 9, 'm', closing=((2, 10.7),))
-        self.assertEqual(self.chosen(need, 'i-2'), '')
+        self.chooser.stats_of('i-1').record_report(report(0, 0, 7, serving=1))
+        self.chooser.stats_of('i-2').record_report(
+            report(60, 16, 10, serving=1)
+        )
+        self.directory.mark_removed('i-1', 9)
+        self.chooser.forget_unlisted(9.5)
+        self.directory.update(listed('i-1'))
+        self.assertEqual(self.chosen(Requirements(POOL, 'z1', 9, 'm')), 'i-2')
+        requirements = Requirements(
+            POOL, 'z1', 9, 'm', version_deadlines=((2, 10.7),)
+        )
+        self.assertEqual(self.chosen(requirements, 'i-2'), '')
         # It is forgotten in the end.
-        self.directory.dropped('i-1', 12)
-        self.chooser.forget(17.1)
-        self.assertNotIn('i-1', self.chooser.standings)
+        self.directory.mark_removed('i-1', 12)
+        self.chooser.forget_unlisted(17.1)
+        self.assertNotIn('i-1', self.chooser.stats)
 
     def test_unreachable_endpoint_is_passed_over_for_a_while(self) -> None:
         """It is chosen only where there is no other."""
-        need = Need(POOL, 'z1', 9, 'm')
-        self.chooser.standing('i-1').unreachable(10)
-        self.chooser.standing('i-2').heard(report(4, 16, 10))
-        self.assertEqual(self.chosen(need), 'i-2')
-        self.assertEqual(self.chosen(need, 'i-2'), 'i-1')
+        requirements = Requirements(POOL, 'z1', 9, 'm')
+        self.chooser.stats_of('i-1').record_unreachable(10)
+        self.chooser.stats_of('i-2').record_report(report(4, 16, 10))
+        self.assertEqual(self.chosen(requirements), 'i-2')
+        self.assertEqual(self.chosen(requirements, 'i-2'), 'i-1')
 
     def test_engine_that_fell_silent_is_passed_over(self) -> None:
         """A VM that stands still reports nothing, long before it is listed."""
-        need = Need(POOL, 'z1', 9, 'm')
-        self.chooser.standing('i-1').heard(report(0, 0, 9.5))
-        self.chooser.standing('i-2').heard(report(2, 16, 10))
-        self.assertEqual(self.chosen(need), 'i-2')
+        requirements = Requirements(POOL, 'z1', 9, 'm')
+        self.chooser.stats_of('i-1').record_report(report(0, 0, 9.5))
+        self.chooser.stats_of('i-2').record_report(report(2, 16, 10))
+        self.assertEqual(self.chosen(requirements), 'i-2')
 
     def test_engine_that_fell_silent_is_not_taken_for_empty(self) -> None:
         """However long others let wait, they are known to be there.
@@ -247,16 +263,16 @@
         and nothing to the wait by which a call is admitted. What proved it: the
         ages, and the waits predicted, 0.15 to 0.22 s, in the attempts' lines.
         """
-        need = Need(POOL, 'z1', 9, 'm', enough_s=0.5)
-        self.chooser.standing('i-2').heard(report(60, 16, 10))
+        requirements = Requirements(POOL, 'z1', 9, 'm', acceptable_wait_s=0.5)
+        self.chooser.stats_of('i-2').record_report(report(60, 16, 10))
         for age_s in (0.5, 1.4, 1.6, 5):
-            self.chooser.standing('i-1').heard(report(0, 0, 10 - age_s))
-            choice = self.chooser.choose(need, (), 10)
+            self.chooser.stats_of('i-1').record_report(report(0, 0, 10 - age_s))
+            choice = self.chooser.choose(requirements, (), 10)
             assert choice is not None
-            self.assertEqual(choice.endpoint.endpoint, 'i-2')
+            self.assertEqual(choice.endpoint.endpoint_id, 'i-2')
             self.assertGreater(choice.wait_s, 1.5)
         # Where nobody is heard, as after a pause of this process, all may be.
-        self.assertEqual(self.chosen(need, 'i-2'), 'i-1')
+        self.assertEqual(self.chosen(requirements, 'i-2'), 'i-1')
 
     def test_a_pause_of_the_entry_itself(self) -> None:
         """Those it hears are chosen as before it, and not those it never hears.
@@ -270,18 +286,18 @@
         any wait, the same call went to one of the former.
         """
         beyond = dataclasses.replace(listed('i-2'), host='10.0.0.2')
-        self.directory.listed(beyond)
+        self.directory.update(beyond)
         heard = ('i-1', 'i-3', 'i-4', 'i-5')
         for name in heard:
-            self.directory.listed(listed(name))
-        self.chooser.candidates.hear(['10.0.0.1'])
-        need = Need(POOL, 'z1', 9, 'm', enough_s=0.5)
+            self.directory.update(listed(name))
+        self.chooser.candidates.prefer_hosts(['10.0.0.1'])
+        requirements = Requirements(POOL, 'z1', 9, 'm', acceptable_wait_s=0.5)
         for age_s in (0.1, 0.6, 1.4):
             with self.subTest(age_s=age_s):
                 for name in heard:
                     last = report(0, 1, 10 - age_s)
-                    self.chooser.standing(name).heard(last)
-                self.assertIn(self.chosen(need), heard)
+                    self.chooser.stats_of(name).record_report(last)
+                self.assertIn(self.chosen(requirements), heard)
 
     def test_one_that_was_never_heard_is_not_taken_for_empty(self) -> None:
         """Silence from the first is silence, too.
@@ -292,21 +308,21 @@
         reached it. Cause: only an endpoint that once reported can be silent.
         What proved it: after a single report, 5 s old, the other is chosen.
         """
-        need = Need(POOL, 'z1', 9, 'm', enough_s=0.5)
-        self.chooser.choose(need, (), 5)
-        self.chooser.standing('i-2').heard(report(60, 16, 10))
-        self.assertEqual(self.chosen(need), 'i-2')
+        requirements = Requirements(POOL, 'z1', 9, 'm', acceptable_wait_s=0.5)
+        self.chooser.choose(requirements, (), 5)
+        self.chooser.stats_of('i-2').record_report(report(60, 16, 10))
+        self.assertEqual(self.chosen(requirements), 'i-2')
 
     def test_late_calls_do_not_count_before_urgent_ones(self) -> None:
         """Those that wait behind are left out of an urgent call's wait."""
-        standing = self.chooser.standing('i-1')
-        standing.heard(report(12, 16, 10))
-        standing.late_waiting = 3
-        standing.urgent_waiting = 1
+        stats = self.chooser.stats_of('i-1')
+        stats.record_report(report(12, 16, 10))
+        stats.late_waiting = 3
+        stats.urgent_waiting = 1
         one = listed('i-1')
-        urgent = self.chooser.wait_s(Need(POOL, 'z1', 9, 'm'), one, 10)
+        urgent = self.chooser.wait_s(Requirements(POOL, 'z1', 9, 'm'), one, 10)
         late = self.chooser.wait_s(
-            Need(POOL, 'z1', 9, 'm', urgent=False),
+            Requirements(POOL, 'z1', 9, 'm', urgent=False),
             one,
             10,
         )
@@ -326,22 +342,22 @@
         )
         for word, sent, ended, expected in cases:
             with self.subTest(sent=sent, ended=ended):
-                standing = Standing()
+                stats = EndpointStats()
                 for _ in range(ended):
-                    standing.sent()
-                standing.heard(word)
+                    stats.record_sent()
+                stats.record_report(word)
                 for _ in range(sent):
-                    standing.sent()
+                    stats.record_sent()
                 for _ in range(ended):
-                    standing.ended()
-                self.assertEqual(standing.work(10.2), expected)
+                    stats.record_ended()
+                self.assertEqual(stats.estimate_work(10.2), expected)
 
     def test_without_a_fresh_report_only_own_calls_count(self) -> None:
         """An old report is worth nothing."""
-        standing = Standing()
-        standing.heard(report(9, 16, 10))
-        standing.sent()
-        self.assertEqual(standing.work(20), (0, 1))
+        stats = EndpointStats()
+        stats.record_report(report(9, 16, 10))
+        stats.record_sent()
+        self.assertEqual(stats.estimate_work(20), (0, 1))
 
 
 class ForecastTest(unittest.TestCase):
--- a/tests/test_entrance.py
+++ b/tests/test_entrance.py
@@ -3,7 +3,7 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.choice import Choice, Chooser, Requirements
 from linnetwood.calls.dialect import CallHead, Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.directory import Directory
@@ -48,9 +48,11 @@
 class Needs:
     """Stand in for the dispatcher: every call needs the same."""
 
-    def need(self, call: DirectCall) -> Need:
+    def requirements(self, call: DirectCall) -> Requirements:
         enough_s = call.route.target_s - SPREAD_S
-        return Need(call.service, 'z1', 1000, 'm', enough_s=enough_s)
+        return Requirements(
+            call.service, 'z1', 1000, 'm', acceptable_wait_s=enough_s
+        )
 
 
 def call(wait_s: float, service: Service = POOL) -> DirectCall:
@@ -75,7 +77,7 @@
     def setUp(self) -> None:
         directory = Directory()
         self.chooser = Chooser(directory, Random(1))
-        directory.listed(listed('i-1'))
+        directory.update(listed('i-1'))
         self.entrance = Entrance(
             self.chooser,
             Needs(),
@@ -87,7 +89,7 @@
     def offered(self, waiting: int, running: int) -> str:
         """Say what becomes of a call at an engine with so much to do."""
         word = report(waiting, running, 10)
-        self.chooser.standing('i-1').heard(word)
+        self.chooser.stats_of('i-1').record_report(word)
         found = self.entrance(call(FIRST_TRY_S))
         if isinstance(found, Ending):
             self.assertIs(found.outcome, Outcome.NOT_RUN)
@@ -110,7 +112,7 @@
 
     def test_callers_come_back_late_and_not_at_once(self) -> None:
         """They wait for a third of their time at most, and differ."""
-        self.chooser.standing('i-1').heard(report(9, 16, 10))
+        self.chooser.stats_of('i-1').record_report(report(9, 16, 10))
         waits = []
         for _ in range(50):
             found = self.entrance(call(FIRST_TRY_S))
@@ -143,7 +145,7 @@
 
     def test_choice_is_the_chooser_s(self) -> None:
         """The prediction comes of the endpoint that would be taken."""
-        found = self.chooser.choose(Need(POOL, 'z1', 1000, 'm'), (), 10)
+        found = self.chooser.choose(Requirements(POOL, 'z1', 1000, 'm'), (), 10)
         assert isinstance(found, Choice)
         self.assertGreater(found.wait_s, 0)
 
@@ -154,7 +156,7 @@
     def setUp(self) -> None:
         directory = Directory()
         self.chooser = Chooser(directory, Random(1))
-        directory.listed(listed('i-1'))
+        directory.update(listed('i-1'))
         self.entrance = Entrance(
             self.chooser,
             Needs(),
@@ -168,7 +170,7 @@
     def offer(self, waiting: int, running: int, *waits: float) -> list[str]:
         """Say what becomes of calls at an engine with so much to do."""
         word = report(waiting, running, 10)
-        self.chooser.standing('i-1').heard(word)
+        self.chooser.stats_of('i-1').record_report(word)
         found = [self.entrance(call(wait_s)) for wait_s in waits]
         return [
             one.detail if isinstance(one, Ending) else one.value
@@ -190,7 +192,7 @@
 
     def test_refused_returns_may_come_again(self) -> None:
         """They are told when, within a third of what they have left."""
-        self.chooser.standing('i-1').heard(report(0, 12, 10))
+        self.chooser.stats_of('i-1').record_report(report(0, 12, 10))
         found = self.entrance(call(RETURN_S))
         assert isinstance(found, Ending)
         self.assertIs(found.outcome, Outcome.NOT_RUN)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -9,7 +9,7 @@
 
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.direct import DirectDispatcher
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.entrance import Entrance
 from linnetwood.calls.front import Front, open_server
 from linnetwood.calls.grounds import Vigil
@@ -162,8 +162,8 @@
         server = Server(behave)
         self.back.append(server)
         port = await server.start()
-        self.directory.listed(
-            Listed('i-1', 'desk', HOST, port, 'z1', 6, ready=True),
+        self.directory.update(
+            Endpoint('i-1', 'desk', HOST, port, 'z1', 6, ready=True),
         )
         return server
 
--- a/tests/test_junk.py
+++ b/tests/test_junk.py
@@ -102,7 +102,7 @@
 
     def names(self) -> set[str]:
         """Give the endpoints in use."""
-        return {one.endpoint for one in self.directory.ready('pool', 0)}
+        return {one.endpoint_id for one in self.directory.eligible('pool', 0)}
 
     def change(self, key: str, payload: bytes) -> None:
         """Write one key."""
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -14,39 +14,39 @@
     def test_learns(self) -> None:
         """Late calls raise it step by step, prompt ones lower it to nothing."""
         forecast = MeanLateness()
-        self.assertEqual(forecast.late_s(1, 10), 0)
+        self.assertEqual(forecast.mean_lateness_s(1, 10), 0)
         for _ in range(20):
-            forecast.seen(0.2, 0.5, 10)
-        self.assertAlmostEqual(forecast.late_s(1, 10), 0.3, 2)
+            forecast.record(0.2, 0.5, 10)
+        self.assertAlmostEqual(forecast.mean_lateness_s(1, 10), 0.3, 2)
         for _ in range(3):
-            forecast.seen(0.2, 0.2, 10)
-        self.assertLess(forecast.late_s(1, 10), 0.15)
+            forecast.record(0.2, 0.2, 10)
+        self.assertLess(forecast.mean_lateness_s(1, 10), 0.15)
         for _ in range(20):
-            forecast.seen(0.3, 0.2, 10)
-        self.assertEqual(forecast.late_s(1, 10), 0)
+            forecast.record(0.3, 0.2, 10)
+        self.assertEqual(forecast.mean_lateness_s(1, 10), 0)
 
     def test_bounded(self) -> None:
         """Half of the target is left, so that an idle engine gets calls."""
         forecast = MeanLateness()
         for _ in range(20):
-            forecast.seen(0.2, 4, 10)
-        self.assertEqual(forecast.late_s(0.6, 10), 0.3)
+            forecast.record(0.2, 4, 10)
+        self.assertEqual(forecast.mean_lateness_s(0.6, 10), 0.3)
 
     def test_forgets(self) -> None:
         """An entry that admits nothing learns nothing, and tries again."""
         forecast = MeanLateness()
         for _ in range(20):
-            forecast.seen(0.2, 0.6, 10)
-        self.assertAlmostEqual(forecast.late_s(1, 15), 0.2, 2)
-        self.assertLess(forecast.late_s(1, 30), 0.03)
+            forecast.record(0.2, 0.6, 10)
+        self.assertAlmostEqual(forecast.mean_lateness_s(1, 15), 0.2, 2)
+        self.assertLess(forecast.mean_lateness_s(1, 30), 0.03)
 
     def test_the_usual_spread_is_allowed(self) -> None:
         """Beside what was learned."""
         forecast = MeanLateness()
-        self.assertEqual(forecast.allowed_s(1, 10), SPREAD_S)
+        self.assertEqual(forecast.margin_s(1, 10), SPREAD_S)
         for _ in range(20):
-            forecast.seen(0.2, 4, 10)
-        self.assertEqual(forecast.allowed_s(0.6, 10), SPREAD_S + 0.3)
+            forecast.record(0.2, 4, 10)
+        self.assertEqual(forecast.margin_s(0.6, 10), SPREAD_S + 0.3)
 
 
 if __name__ == '__main__':
