--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -8,12 +8,12 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.choice import Chooser, Need
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.choice import Chooser, Requirements
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.engine import EngineProfile
 from linnetwood.calls.routebook import Service
-from linnetwood.calls.standing import Report
-from linnetwood.calls.lives import take_report
+from linnetwood.calls.endpointstats import Report
+from linnetwood.calls.reportintake import apply_report
 
 HISTORIES = 200
 STEPS = 60
@@ -21,16 +21,16 @@
 SERVICE = Service(
     'pool',
     100,
-    EngineFigures(
+    EngineProfile(
         slots=4,
         step_s=0.01,
-        per_call_s=0,
-        context_s_per_k=0,
-        read_per_s=20000,
-        pairs_s_per_m=0,
-        stride=1,
-        usual_prompt=100,
-        usual_answer=10,
+        step_s_per_call=0,
+        step_s_per_k_context=0,
+        prefill_tokens_per_s=20000,
+        attention_s_per_m_pairs=0,
+        steps_per_pass=1,
+        typical_prompt_tokens=100,
+        typical_answer_tokens=10,
         kv_tokens=0,
         models=('m',),
         layers=1,
@@ -57,10 +57,10 @@
         self.host = host
         self.holds = 0
 
-    def entry(self) -> Listed:
+    def entry(self) -> Endpoint:
         """Give what stands in the list."""
         versions = {'m': self.holds} if self.holds else {}
-        return Listed(
+        return Endpoint(
             self.name,
             'pool',
             self.host,
@@ -85,11 +85,11 @@
             Server(f'i-{number}', self.hosts[number])
             for number in range(SERVERS)
         ]
-        self.late: list[Listed] = [one.entry() for one in self.servers]
+        self.late: list[Endpoint] = [one.entry() for one in self.servers]
         self.reports: list[tuple[str, int, Report]] = []
         self.wrong: list[str] = []
         for one in self.late:
-            self.directory.listed(one)
+            self.directory.update(one)
 
     def play(self) -> list[str]:
         """Give what was counted for the wrong life."""
@@ -114,40 +114,46 @@
     def _list(self, now: int) -> None:
         one = self.rng.choice(self.servers).entry()
         self.late.append(one)
-        self.directory.listed(one)
+        self.directory.update(one)
 
     def _stale(self, now: int) -> None:
         """Let an entry that was written before arrive once more."""
-        self.directory.listed(self.rng.choice(self.late))
+        self.directory.update(self.rng.choice(self.late))
 
     def _report(self, now: int) -> None:
         for one in self.servers:
-            report = Report(9, 9, one.holds, changing=False, heard_at=now)
+            report = Report(9, 9, one.holds, changing=False, received_at=now)
             self.reports.append((one.host, one.born, report))
         for host, born, report in self.rng.sample(self.reports, 2):
-            take_report(self.directory, self.chooser, host, born, report)
+            apply_report(self.directory, self.chooser, host, born, report)
 
     def _check(self, now: int) -> None:
         self._check_choice(now)
         newest = {one.name: one.born for one in self.servers}
         for listed in self.directory.all():
-            known = self.chooser.standing(listed.life).report
-            lives = [
+            known = self.chooser.stats_of(listed.incarnation_id).report
+            incarnation_ids = [
                 born for _, born, report in self.reports if report is known
             ]
-            if known is not None and lives != [listed.born]:
-                self.wrong.append(f'{now}: report of {lives} for {listed}')
-            if listed.born > newest[listed.endpoint]:
+            if known is not None and incarnation_ids != [listed.born]:
+                self.wrong.append(
+                    f'{now}: report of {incarnation_ids} for {listed}'
+                )
+            if listed.born > newest[listed.endpoint_id]:
                 self.wrong.append(f'{now}: {listed} is yet to come')
 
     def _check_choice(self, now: int) -> None:
         """Nothing goes to a life that is known to hold nothing."""
-        need = Need(SERVICE, 'z', 10, 'm', 1)
-        choice = self.chooser.choose(need, (), now)
+        requirements = Requirements(SERVICE, 'z', 10, 'm', 1)
+        choice = self.chooser.choose(requirements, (), now)
         if choice is None:
             return
         listed = choice.endpoint
-        told = [one for one in self.late if one.life == listed.life]
+        told = [
+            one
+            for one in self.late
+            if one.incarnation_id == listed.incarnation_id
+        ]
         heard = [
             report.serving
             for _, born, report in self.reports
@@ -171,19 +177,19 @@
         directory = Directory()
         chooser = Chooser(directory, Random(1))
         server = Server('i', '10.0.0.1')
-        directory.listed(server.entry())
-        before = chooser.standing(server.entry().life)
-        before.sent()
-        before.unreachable(1)
+        directory.update(server.entry())
+        before = chooser.stats_of(server.entry().incarnation_id)
+        before.record_sent()
+        before.record_unreachable(1)
         server.start_again(5, '10.0.0.1')
-        directory.listed(server.entry())
-        after = chooser.standing(server.entry().life)
+        directory.update(server.entry())
+        after = chooser.stats_of(server.entry().incarnation_id)
         self.assertIsNot(after, before)
-        self.assertEqual((after.in_flight, after.failing), (0, 0))
+        self.assertEqual((after.in_flight, after.failure_rate), (0, 0))
         # A call of the life before ends there, and is forgotten with it.
-        before.ended()
-        chooser.forget(2)
-        self.assertEqual(list(chooser.standings), [server.entry().life])
+        before.record_ended()
+        chooser.forget_unlisted(2)
+        self.assertEqual(list(chooser.stats), [server.entry().incarnation_id])
 
     def test_an_older_life_changes_nothing(self) -> None:
         """Neither as a late entry nor after the newer one has gone."""
@@ -191,20 +197,20 @@
         server = Server('i', '10.0.0.1')
         old = server.entry()
         server.start_again(5, '10.0.0.2')
-        directory.listed(server.entry())
-        directory.listed(old)
+        directory.update(server.entry())
+        directory.update(old)
         self.assertEqual(directory.get('i'), server.entry())
-        directory.dropped('i', 100)
-        directory.listed(old)
+        directory.mark_removed('i', 100)
+        directory.update(old)
         self.assertIsNone(directory.get('i'))
 
     def test_an_address_that_was_left_belongs_to_the_next(self) -> None:
         """A report from there is not counted for who moved away."""
         directory = Directory()
         server = Server('i', '10.0.0.1')
-        directory.listed(server.entry())
+        directory.update(server.entry())
         server.host = '10.0.0.2'
-        directory.listed(server.entry())
+        directory.update(server.entry())
         self.assertIsNone(directory.at_host('10.0.0.1'))
         self.assertEqual(directory.at_host('10.0.0.2'), server.entry())
 
@@ -213,11 +219,11 @@
         directory = Directory()
         chooser = Chooser(directory, Random(1))
         server = Server('i', '10.0.0.1')
-        directory.listed(server.entry())
-        report = Report(0, 0, 0, changing=False, heard_at=1)
-        take_report(directory, chooser, '10.0.0.1', 2000, report)
-        need = Need(SERVICE, 'z', 10, 'm', 1)
-        self.assertIsNone(chooser.choose(need, (), 1))
+        directory.update(server.entry())
+        report = Report(0, 0, 0, changing=False, received_at=1)
+        apply_report(directory, chooser, '10.0.0.1', 2000, report)
+        requirements = Requirements(SERVICE, 'z', 10, 'm', 1)
+        self.assertIsNone(chooser.choose(requirements, (), 1))
 
 
 if __name__ == '__main__':
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -10,14 +10,14 @@
 import unittest
 from random import Random
 
-from linnetwood.calls.choice import Chooser, Need
+from linnetwood.calls.choice import Chooser, Requirements
 from linnetwood.calls.dialect import CallHead
 from linnetwood.calls.direct import DirectCall, DirectDispatcher
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.engine import EngineFigures
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.engine import EngineProfile
 from linnetwood.calls.reports import Reports
 from linnetwood.calls.routebook import Repeat, Route, Service, Share
-from linnetwood.calls.standing import Report, Standing
+from linnetwood.calls.endpointstats import Report, EndpointStats
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Ending, Outcome
@@ -48,16 +48,16 @@
 MOST = 65536
 # A moment sooner or later than the last one.
 CLOSE_S = 0.001
-ENGINE = EngineFigures(
+ENGINE = EngineProfile(
     slots=16,
     step_s=0.01,
-    per_call_s=0.00002,
-    context_s_per_k=0.00003,
-    read_per_s=20000,
-    pairs_s_per_m=0.001,
-    stride=5,
-    usual_prompt=800,
-    usual_answer=80,
+    step_s_per_call=0.00002,
+    step_s_per_k_context=0.00003,
+    prefill_tokens_per_s=20000,
+    attention_s_per_m_pairs=0.001,
+    steps_per_pass=5,
+    typical_prompt_tokens=800,
+    typical_answer_tokens=80,
     kv_tokens=300000,
     models=(MODEL,),
 )
@@ -176,8 +176,8 @@
         self.wanted = WantedVersions(BOUND_S)
         self.port = await self.way.start()
         directory = Directory()
-        directory.listed(
-            Listed(
+        directory.update(
+            Endpoint(
                 'i-1',
                 'pool',
                 HOST,
@@ -325,11 +325,13 @@
     # Bounds begin behind the start of all clocks.
     await asyncio.sleep(2 * BOUND_S)
     directory = Directory()
-    one = Listed('i-1', 'pool', HOST, 1, 'z1', 16, ready=True)
-    directory.listed(dataclasses.replace(one, versions={MODEL: 1}))
+    one = Endpoint('i-1', 'pool', HOST, 1, 'z1', 16, ready=True)
+    directory.update(dataclasses.replace(one, versions={MODEL: 1}))
     chooser = Chooser(directory, Random(1))
-    chooser.standing('i-1').heard(
-        Report(0, 0, 1, changing=False, heard_at=loop.time(), way_s=way_s),
+    chooser.stats_of('i-1').record_report(
+        Report(
+            0, 0, 1, changing=False, received_at=loop.time(), link_delay_s=way_s
+        ),
     )
     wanted = WantedVersions(BOUND_S)
     wanted.name(MODEL, 2, loop.time() + left_s - BOUND_S)
@@ -352,8 +354,8 @@
     def test_closed_version_is_not_begun_on_again(self) -> None:
         """Nothing is sent on a version in the last 1.2 s of its bound."""
         directory = Directory()
-        directory.listed(
-            Listed(
+        directory.update(
+            Endpoint(
                 'i-1',
                 'pool',
                 'h',
@@ -364,15 +366,17 @@
                 versions={MODEL: 1},
             ),
         )
-        need = Need(
+        requirements = Requirements(
             SERVICE,
             'z1',
             100,
             MODEL,
-            least_version=2,
+            min_version=2,
             exact_version=1,
         )
-        self.assertIsNone(Chooser(directory, Random(1)).choose(need, (), 0))
+        self.assertIsNone(
+            Chooser(directory, Random(1)).choose(requirements, (), 0)
+        )
 
 
 class StandingTest(unittest.TestCase):
@@ -380,11 +384,11 @@
 
     def test_no_way_is_slower_than_any_that_was_met(self) -> None:
         """Calls took 2 s to arrive at most."""
-        standing = Standing()
+        stats = EndpointStats()
         for way_s, slow_s in ((0.3, 0), (1, 0.7), (2, 1.7), (9, 1.7)):
-            standing.heard(Report(0, 0, 1, False, 0, way_s))
+            stats.record_report(Report(0, 0, 1, False, 0, way_s))
             with self.subTest(way_s=way_s):
-                self.assertAlmostEqual(standing.slow_s(0.1), slow_s)
+                self.assertAlmostEqual(stats.extra_link_delay_s(0.1), slow_s)
 
 
 if __name__ == '__main__':
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -19,7 +19,7 @@
     """Read limits, and what of them could not be read."""
     notice = read(*(('Server-Limit', text) for text in texts))
     assert notice is not None
-    return notice.limit_per_s, notice.unread
+    return notice.limit_per_s, notice.unreadable
 
 
 class ReadingTest(unittest.TestCase):
@@ -54,7 +54,9 @@
         ):
             notice = read(('server-leaving', text))
             assert notice is not None
-            self.assertEqual((notice.leaving, notice.unread), (leaving, unread))
+            self.assertEqual(
+                (notice.leaving, notice.unreadable), (leaving, unread)
+            )
 
     def test_rest(self) -> None:
         """Only one that turns a call away asks for it, in seconds."""
@@ -69,7 +71,9 @@
             said = ('Retry-After', text)
             notice = read(said, ('X-Not-Executed', '1'), status=503)
             assert notice is not None
-            self.assertEqual((notice.rest_s, notice.unread), (rest_s, unread))
+            self.assertEqual(
+                (notice.retry_after_s, notice.unreadable), (rest_s, unread)
+            )
             self.assertEqual(read(said, status=500), Notice())
             self.assertEqual(read(said), Notice(complete=True))
 
@@ -91,18 +95,18 @@
 
     def hear(self, notice: Notice, now: float = 0) -> bool:
         """Hear an answer of the one endpoint."""
-        return self.notices.heard('i-1', notice, now)
+        return self.notices.record('i-1', notice, now)
 
     def limit(self) -> float | None:
         """Give the limit that holds."""
-        return self.notices.of('i-1').limit_per_s
+        return self.notices.latest('i-1').limit_per_s
 
     def test_a_limit_holds_until_a_call_that_ran_names_none(self) -> None:
         """A refusal without it, or with a bad one, ends no limit."""
         self.assertTrue(self.hear(Notice(2, complete=True)))
         self.assertFalse(self.hear(Notice(2, complete=True)))
         self.assertFalse(self.hear(Notice()))
-        self.hear(Notice(unread='x', complete=True))
+        self.hear(Notice(unreadable='x', complete=True))
         self.assertEqual(self.limit(), 2)
         self.assertTrue(self.hear(Notice(complete=True)))
         self.assertIsNone(self.limit())
@@ -111,43 +115,43 @@
         """An answer that was begun before it said so calls nothing back."""
         self.assertTrue(self.hear(Notice(leaving=True)))
         self.assertFalse(self.hear(Notice(complete=True)))
-        self.assertEqual(self.notices.opens_at('i-1'), math.inf)
-        self.assertEqual(self.notices.opens_at('i-1@5'), -math.inf)
+        self.assertEqual(self.notices.available_at('i-1'), math.inf)
+        self.assertEqual(self.notices.available_at('i-1@5'), -math.inf)
 
     def test_rest_lasts_as_long_as_the_longest_asked_for(self) -> None:
         """An answer that asks for less shortens none, and none is a year."""
-        self.assertTrue(self.hear(Notice(rest_s=3)))
-        self.assertFalse(self.hear(Notice(rest_s=1), 1))
+        self.assertTrue(self.hear(Notice(retry_after_s=3)))
+        self.assertFalse(self.hear(Notice(retry_after_s=1), 1))
         self.hear(Notice(complete=True), 1)
-        self.assertEqual(self.notices.opens_at('i-1'), 3)
-        self.assertTrue(self.hear(Notice(rest_s=1), 5))
-        self.hear(Notice(rest_s=1e9), 5)
-        self.assertEqual(self.notices.opens_at('i-1'), 3605)
-        self.assertEqual(self.notices.opens_at('i-1@5'), -math.inf)
-        self.notices.keep((), 4000)
-        self.assertEqual(self.notices.opens_at('i-1'), -math.inf)
+        self.assertEqual(self.notices.available_at('i-1'), 3)
+        self.assertTrue(self.hear(Notice(retry_after_s=1), 5))
+        self.hear(Notice(retry_after_s=1e9), 5)
+        self.assertEqual(self.notices.available_at('i-1'), 3605)
+        self.assertEqual(self.notices.available_at('i-1@5'), -math.inf)
+        self.notices.forget_unlisted((), 4000)
+        self.assertEqual(self.notices.available_at('i-1'), -math.inf)
 
     def test_leaving_holds_also_where_it_is_told_late(self) -> None:
         """Guard against new work since another answer came in between."""
         self.hear(Notice(2, complete=True), 5)
         self.assertTrue(self.hear(Notice(3, leaving=True, complete=True), 4))
-        self.assertEqual(self.notices.opens_at('i-1'), math.inf)
+        self.assertEqual(self.notices.available_at('i-1'), math.inf)
         self.assertEqual(self.limit(), 2)
         self.assertFalse(self.hear(Notice(3, leaving=True, complete=True), 4))
 
     def test_another_life_inherits_nothing(self) -> None:
         """What is said is kept by life."""
         self.hear(Notice(2))
-        self.assertEqual(self.notices.of('i-1@5'), Notice())
+        self.assertEqual(self.notices.latest('i-1@5'), Notice())
 
     def test_who_is_no_longer_listed_is_forgotten(self) -> None:
         """It is kept a while: the list may tell of it again."""
         self.hear(Notice(2))
-        self.notices.keep((), 500)
+        self.notices.forget_unlisted((), 500)
         self.assertEqual(self.limit(), 2)
-        self.notices.keep(('i-1',), 700)
+        self.notices.forget_unlisted(('i-1',), 700)
         self.assertEqual(self.limit(), 2)
-        self.notices.keep((), 700)
+        self.notices.forget_unlisted((), 700)
         self.assertIsNone(self.limit())
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -16,7 +16,7 @@
 from linnetwood.calls.fairness import Bounds
 from linnetwood.calls.guard import Guard, GuardState
 from linnetwood.calls.keys import KeyMemory
-from linnetwood.calls.routing import POLICIES, Routes, Want
+from linnetwood.calls.routing import POLICIES, Routes, EndpointQuery
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import ANSWERED, Code, Ending
 from linnetwood.fleet.members import ENDPOINT, Health
@@ -55,7 +55,7 @@
 LEAST_GOODPUT = 0.95
 MOST_RATIO = 1.2
 BUSY = Code.BUSY.value
-WANT = Want(ENGINE_KIND, model=MODEL)
+QUERY = EndpointQuery(ENGINE_KIND, model=MODEL)
 DEPLOYMENT = Deployment(
     models=[Model(name=MODEL, versions=[Version(name='v', manifest='x')])],
     intents=[Intent(model=MODEL, version='v', replicas=ENGINES)],
@@ -157,8 +157,8 @@
     def entry(self) -> tuple[Admission, Dispatcher]:
         """Put an entry together."""
         routes = Routes('z', POLICIES['probing'](), self.rng)
-        routes.configured(DEPLOYMENT)
-        routes.entries = ENTRIES
+        routes.apply_config(DEPLOYMENT)
+        routes.entry_count = ENTRIES
         for one in self.endpoints.values():
             routes.member_changed(one.member())
         gate = Admission(
@@ -172,7 +172,9 @@
             load = self.endpoints[member.vm].guard.load()
             asyncio.get_running_loop().call_later(
                 PROBE_S,
-                lambda: routes.load(member.vm).report(load, self.clock.now()),
+                lambda: routes.load(member.vm).record_report(
+                    load, self.clock.now()
+                ),
             )
 
         dispatcher = Dispatcher(
@@ -216,7 +218,7 @@
         """Give a call."""
         return Call(
             call_id=f'{self.rng.getrandbits(64):016x}',
-            want=WANT,
+            query=QUERY,
             target=MODEL,
             method='POST',
             path='/generate',
--- a/tests/test_passed_notices.py
+++ b/tests/test_passed_notices.py
@@ -67,7 +67,7 @@
     def tick(self) -> None:
         """Greet and report once."""
         for one in self.entries if self.greets else []:
-            one._tell()
+            one._subscribe()
         self.deliver()
         self.endpoint.talk.tell()
         self.deliver()
@@ -76,14 +76,15 @@
     def hear(self, reports: Reports, notice: Notice) -> None:
         """Let an entry get an answer."""
         now = self.clock.now()
-        reports._chooser.notices.heard(self.one.life, notice, now)
-        reports.noticed(self.one, now)
+        reports._chooser.notices.record(self.one.incarnation_id, notice, now)
+        reports.forward_notice(self.one, now)
 
     def limits(self) -> list[float | None]:
         """Give the limit that each entry knows."""
-        life = self.one.life
+        incarnation_id = self.one.incarnation_id
         return [
-            one._chooser.notices.of(life).limit_per_s for one in self.entries
+            one._chooser.notices.latest(incarnation_id).limit_per_s
+            for one in self.entries
         ]
 
     async def test_a_limit_and_its_end_reach_all(self) -> None:
@@ -104,7 +105,9 @@
         self.hear(self.entries[1], Notice(complete=True))
         self.tick()
         for one in self.entries:
-            self.assertTrue(one._chooser.notices.of(self.one.life).leaving)
+            self.assertTrue(
+                one._chooser.notices.latest(self.one.incarnation_id).leaving
+            )
 
     async def test_a_word_that_is_lost_is_told_again(self) -> None:
         """Guard against a limit that one entry keeps to itself."""
@@ -171,7 +174,7 @@
         self.born = 7
         self.report()
         self.one = dataclasses.replace(self.one, born=self.born)
-        self.fleet.directory.listed(self.one)
+        self.fleet.directory.update(self.one)
         self.tick()
         self.assertEqual(self.limits(), [None, None])
         self.hear(self.entries[1], Notice(3, complete=True))
@@ -188,15 +191,15 @@
         self.hear(self.entries[0], Notice(leaving=True))
         self.tick()
         old = self.one
-        self.one = dataclasses.replace(old, endpoint='i-new')
+        self.one = dataclasses.replace(old, endpoint_id='i-new')
         directory = self.fleet.directory
-        directory.replaced({'i-new': self.one}, self.clock.now())
+        directory.replace_all({'i-new': self.one}, self.clock.now())
         for _ in range(5):
             self.tick()
         for one in self.entries:
             notices = one._chooser.notices
-            self.assertTrue(notices.of(old.life).leaving)
-            self.assertFalse(notices.of(self.one.life).leaving)
+            self.assertTrue(notices.latest(old.incarnation_id).leaving)
+            self.assertFalse(notices.latest(self.one.incarnation_id).leaving)
 
 
 if __name__ == '__main__':
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -10,9 +10,13 @@
 from random import Random
 
 from linnetwood.calls.crashes import Crashes
-from linnetwood.calls.choice import Chooser, Need
+from linnetwood.calls.choice import Chooser, Requirements
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.reach import ANYWHERE, Reach, reach_of
+from linnetwood.calls.regionscope import (
+    ANY_REGION,
+    RegionScope,
+    intersect_regions,
+)
 from linnetwood.calls.routebook import RouteBook, Service
 from linnetwood.core.clock import SystemClock
 from linnetwood.fleet.ranges import Change, Record, Snapshot
@@ -71,7 +75,7 @@
             for number in range(EACH)
         }
         self.feed.replaced(Snapshot(self.found, 9))
-        self.chooser.candidates.hear(
+        self.chooser.candidates.prefer_hosts(
             one.host for one in self.directory.all() if one.host.endswith('1')
         )
 
@@ -82,11 +86,16 @@
         more = {'service': 'desk', 'address': place, 'zone': zone, **more}
         return {**plain, **more}
 
-    def zones(self, need: Need) -> set[str]:
+    def zones(self, requirements: Requirements) -> set[str]:
         """Give where calls go, each with its own lot."""
         found = set()
         for lot in range(CALLS):
-            one = Need(need.service, need.zone, lot=lot, reach=need.reach)
+            one = Requirements(
+                requirements.service,
+                requirements.zone,
+                sample_number=lot,
+                region_scope=requirements.region_scope,
+            )
             choice = self.chooser.choose(one, (), self.clock.now())
             found.add(choice.endpoint.zone if choice else 'nowhere')
         return found
@@ -104,24 +113,32 @@
                 ('south', {'z3'}),
                 ('west', {'nowhere'}),
             ):
-                reach = Reach(frozenset((region,)))
+                scope = RegionScope(frozenset((region,)))
                 with self.subTest(zone=zone, region=region):
-                    found = self.zones(Need(DESK, zone, reach=reach))
+                    found = self.zones(
+                        Requirements(DESK, zone, region_scope=scope)
+                    )
                     self.assertLessEqual(found, allowed)
 
     def test_second_attempts(self) -> None:
         """Where all of the region were tried, nothing else is."""
-        reach = Reach(frozenset(('south',)))
-        tried = {one.life for one in self.directory.all() if one.zone == 'z3'}
-        need = Need(DESK, 'z1', reach=reach)
-        self.assertIsNone(self.chooser.choose(need, tried, 0))
+        scope = RegionScope(frozenset(('south',)))
+        tried = {
+            one.incarnation_id
+            for one in self.directory.all()
+            if one.zone == 'z3'
+        }
+        requirements = Requirements(DESK, 'z1', region_scope=scope)
+        self.assertIsNone(self.chooser.choose(requirements, tried, 0))
 
     def test_both_bounds_bind(self) -> None:
         """Of a route and of an organisation; an empty one binds nothing."""
-        self.assertEqual(reach_of((), ()), ANYWHERE)
-        self.assertEqual(reach_of(['a'], ()).regions, {'a'})
-        self.assertEqual(reach_of(['a', 'b'], ['b', 'c']).regions, {'b'})
-        self.assertFalse(reach_of(['a'], ['b']).allows('a'))
+        self.assertEqual(intersect_regions((), ()), ANY_REGION)
+        self.assertEqual(intersect_regions(['a'], ()).regions, {'a'})
+        self.assertEqual(
+            intersect_regions(['a', 'b'], ['b', 'c']).regions, {'b'}
+        )
+        self.assertFalse(intersect_regions(['a'], ['b']).allows('a'))
 
     def test_decoded(self) -> None:
         """Regions of routes and organisations, and what cold servers bear."""
@@ -140,49 +157,51 @@
 
     def test_an_evacuated_zone(self) -> None:
         """Nothing goes there, until it is taken back; also bound calls."""
-        need = Need(DESK, 'z1')
+        requirements = Requirements(DESK, 'z1')
         self.evacuated('z1')
-        self.assertNotIn('z1', self.zones(need))
-        south = Need(DESK, 'z3', reach=Reach(frozenset(('south',))))
+        self.assertNotIn('z1', self.zones(requirements))
+        south = Requirements(
+            DESK, 'z3', region_scope=RegionScope(frozenset(('south',)))
+        )
         self.evacuated('z3')
         self.assertEqual(self.zones(south), {'nowhere'})
         # What stands under the key does not matter.
         change = Change('op/evacuate/z1', Record(b'{[', 20))
         self.feed.changed((change,))
-        self.assertEqual(self.zones(need), {'z2'})
+        self.assertEqual(self.zones(requirements), {'z2'})
         self.feed.changed((Change('op/evacuate/z1', None),))
-        self.assertIn('z1', self.zones(need))
+        self.assertIn('z1', self.zones(requirements))
         self.evacuated()
         self.assertNotIn('nowhere', self.zones(south))
 
     def test_a_zone_that_comes_back(self) -> None:
         """Its servers may be cold, and have not told yet."""
-        self.chooser.entries = lambda: 39
+        self.chooser.entry_count = lambda: 39
         self.evacuated('z1')
         self.evacuated()
-        self.assertNotIn('z1', self.zones(Need(COLD, 'z1')))
+        self.assertNotIn('z1', self.zones(Requirements(COLD, 'z1')))
         self.clock.at += 2.1
-        self.assertIn('z1', self.zones(Need(COLD, 'z1')))
+        self.assertIn('z1', self.zones(Requirements(COLD, 'z1')))
 
     def test_servers_that_are_cold(self) -> None:
         """Each entry sends its part there until they are warm."""
-        self.chooser.entries = lambda: 39
+        self.chooser.entry_count = lambda: 39
         changes = [
             Change(f'servers/z1-{number}', told(self._cold(number)))
             for number in range(EACH)
         ]
         self.feed.changed(tuple(changes))
-        self.assertNotIn('z1', self.zones(Need(COLD, 'z1')))
-        self.assertIn('z1', self.zones(Need(DESK, 'z1')))
+        self.assertNotIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones(Requirements(DESK, 'z1')))
         self.clock.at += COLD_MS / 1000 + 0.1
-        self.assertIn('z1', self.zones(Need(COLD, 'z1')))
+        self.assertIn('z1', self.zones(Requirements(COLD, 'z1')))
 
     def test_a_server_that_was_lost(self) -> None:
         """It may come back cold before it says so."""
         one = self.directory.get('z3-1')
         assert one is not None
-        self.chooser.entries = lambda: 39
-        self.chooser.lost(COLD, one, self.clock.now())
+        self.chooser.entry_count = lambda: 39
+        self.chooser.record_unreachable(COLD, one, self.clock.now())
         self.assertTrue(self.directory.is_cold(one, self.clock.now() + 2.9))
         self.assertFalse(self.directory.is_cold(one, self.clock.now() + 3.1))
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -53,8 +53,8 @@
             lambda call: self.verdict,
             self.clock,
         )
-        for life in 'ab':
-            self.crashes.ended(End(LIKENESS, life), 0)
+        for incarnation_id in 'ab':
+            self.crashes.ended(End(LIKENESS, incarnation_id), 0)
 
     def test_to_ask_changes_nothing(self) -> None:
         """Whoever asks twice hears the same."""
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -10,16 +10,16 @@
 from collections.abc import Iterator
 from random import Random
 
-from linnetwood.calls.candidates import draw
+from linnetwood.calls.candidates import select_hosts
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.dialect import CallHead
 from linnetwood.calls.direct import DirectCall, DirectDispatcher
-from linnetwood.calls.directory import Directory, Listed
-from linnetwood.calls.engine import EngineFigures
-from linnetwood.calls.limits import Place, RateLimits
+from linnetwood.calls.directory import Directory, Endpoint
+from linnetwood.calls.engine import EngineProfile
+from linnetwood.calls.limits import RateLimitTarget, RateLimits
 from linnetwood.calls.notices import Notice, Notices
 from linnetwood.calls.routebook import Repeat, Service, Share
-from linnetwood.calls.standing import Report, Standing
+from linnetwood.calls.endpointstats import Report, EndpointStats
 from linnetwood.core.metrics import NoMetrics
 from linnetwood.core.outcomes import Outcome
 from linnetwood.fleet.listeners import Greeting, Listeners
@@ -77,10 +77,10 @@
     def entry(self, port: int) -> DirectDispatcher:
         """Give the dispatcher of one entry."""
         directory = Directory()
-        one = Listed('i-1', 'desk', HOST, port, 'z1', 6, ready=True)
-        directory.listed(one)
+        one = Endpoint('i-1', 'desk', HOST, port, 'z1', 6, ready=True)
+        directory.update(one)
         chooser = Chooser(directory, Random(len(self.drivers)))
-        chooser.entries = lambda: ENTRIES
+        chooser.entry_count = lambda: ENTRIES
         driver = CurlDriver()
         self.drivers.append(driver)
         return DirectDispatcher(
@@ -146,7 +146,7 @@
         self.assertEqual(len(self.server.requests), 1)
 
 
-FIGURES = EngineFigures(8, 0.01, 0, 0, 20000, 0, 4, 900, 100, 90000)
+FIGURES = EngineProfile(8, 0.01, 0, 0, 20000, 0, 4, 900, 100, 90000)
 POOL = Service('pool', 10, FIGURES)
 # Entries, engines and zones of fleets.
 FLEETS = ((7, 6, 3), (18, 12, 3), (98, 60, 5), (410, 600, 10))
@@ -162,7 +162,7 @@
     def __init__(self, me: str, zone: str, fleet: 'Fleet') -> None:
         self.zone = zone
         self.fleet = fleet
-        heard = draw(me, zone, fleet.places)
+        heard = select_hosts(me, zone, fleet.places)
         self.stands_for = heard.get('e0', 0) if fleet.has_process else 0
         self.in_reach = True
         self.start(me)
@@ -171,7 +171,7 @@
         """Begin to live, knowing nothing."""
         self.told = False
         self.notices = Notices()
-        self.standing = Standing()
+        self.stats = EndpointStats()
         fleet = self.fleet
         rng = Random(f'{fleet.seed}{seed}')
         self.limits = RateLimits(self.notices, rng, lambda: fleet.told)
@@ -179,14 +179,14 @@
     def step(self, now: float) -> None:
         """Send a call if one may go."""
         fleet = self.fleet
-        place = Place(fleet.service, fleet.one, self.standing)
-        if self.limits.opens_at(place, now) > now:
+        target = RateLimitTarget(fleet.service, fleet.one, self.stats)
+        if self.limits.available_at(target, now) > now:
             return
-        self.limits.sent(place, now)
+        self.limits.record_sent(target, now)
         if self.told:
             fleet.times.append(now)
         self.told = True
-        self.notices.heard('e0', Notice(fleet.limit, complete=True), now)
+        self.notices.record('e0', Notice(fleet.limit, complete=True), now)
 
 
 class Fleet:
@@ -207,7 +207,7 @@
         self.has_process = has_process
         self.service = POOL if has_process else DESK
         self.places = {f'e{one}': f'z{one % zones}' for one in range(engines)}
-        self.one = Listed('e0', 'pool', 'e0', 80, 'z0', 8, ready=True)
+        self.one = Endpoint('e0', 'pool', 'e0', 80, 'z0', 8, ready=True)
         self.times: list[float] = []
         self.rng = Random(entries)
         self.listeners = Listeners(-2.0)
@@ -241,14 +241,14 @@
         self.listeners.expire(self.now)
         reports = {near: self.report(near=near) for near in (True, False)}
         for _, entry in hearing:
-            entry.standing.heard(reports[entry.zone == 'z0'])
+            entry.stats.record_report(reports[entry.zone == 'z0'])
 
     def report(self, *, near: bool) -> Report:
         """Give what the process tells entries of its zone, or the others."""
         part = self.listeners.part('z0', self.now, near=near)
         notice = Notice(self.limit, complete=True)
-        report = Report(0, 1, 1, changing=False, heard_at=self.now)
-        return dataclasses.replace(report, notice=notice, part=part)
+        report = Report(0, 1, 1, changing=False, received_at=self.now)
+        return dataclasses.replace(report, notice=notice, quota=part)
 
 
 def fleets(limit: float) -> Iterator[Fleet]:
@@ -295,15 +295,17 @@
         for limit in (20, 1000, 999999999):
             fleet = Fleet(FLEETS[0], limit, has_process=False)
             entry = fleet.entries[0]
-            entry.notices.heard('e0', Notice(limit, complete=True), 0)
-            place = Place(fleet.service, fleet.one, entry.standing)
+            entry.notices.record('e0', Notice(limit, complete=True), 0)
+            target = RateLimitTarget(fleet.service, fleet.one, entry.stats)
             # The first turn is drawn.
-            entry.limits.opens_at(place, 0)
+            entry.limits.available_at(target, 0)
             for number in range(1, 50):
                 now = number * 0.77
                 with self.subTest(limit=limit, now=now):
-                    self.assertLessEqual(entry.limits.opens_at(place, now), now)
-                entry.limits.sent(place, now)
+                    self.assertLessEqual(
+                        entry.limits.available_at(target, now), now
+                    )
+                entry.limits.record_sent(target, now)
 
     def test_a_crowd_after_silence(self) -> None:
         """Guard against turns that all entries saved up."""
@@ -351,10 +353,10 @@
         fleet = Fleet(FLEETS[0], 0, has_process=False)
         fleet.play(PLAYED_S)
         entry = fleet.entries[0]
-        entry.notices.heard('e0', Notice(complete=True), fleet.now)
-        place = Place(fleet.service, fleet.one, entry.standing)
+        entry.notices.record('e0', Notice(complete=True), fleet.now)
+        target = RateLimitTarget(fleet.service, fleet.one, entry.stats)
         for now in (fleet.now, fleet.now + 1):
-            self.assertEqual(entry.limits.opens_at(place, now), now)
+            self.assertEqual(entry.limits.available_at(target, now), now)
 
 
 if __name__ == '__main__':
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -162,7 +162,7 @@
         }
         one = records.endpoint('servers/i-1', record(said))
         self.assertEqual(
-            (one.endpoint, one.host, one.port, one.ready, one.cold_s),
+            (one.endpoint_id, one.host, one.port, one.ready, one.cold_s),
             ('i-1', '10.1.0.9', 8080, False, 0.5),
         )
         self.assertEqual(dict(one.versions), {'m-1': 2})
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -4,14 +4,20 @@
 from random import Random
 
 from linnetwood.calls.retries import RetryBudget, may_retry
-from linnetwood.calls.routing import POLICIES, Load, Policy, Routes, Want
+from linnetwood.calls.routing import (
+    POLICIES,
+    Load,
+    Policy,
+    Routes,
+    EndpointQuery,
+)
 from linnetwood.core.outcomes import Code, Ending, Outcome, not_run, unknown
 from linnetwood.fleet.members import Health, copy
 from linnetwood.gen.schema.ttypes import Deployment, Intent, Model, Version
 from linnetwood.gen.wire.ttypes import Member
 from tests.test_membership import member
 
-WANT = Want('engine', model='m')
+QUERY = EndpointQuery('engine', model='m')
 
 
 def engine(vm: str, serving: str = 'm@v1', **fields: int) -> Member:
@@ -30,7 +36,7 @@
     chosen: Policy = POLICIES[policy]()
     found = Routes('z', chosen, Random(1))
     versions = [Version(name=f'v{one}', manifest='x') for one in (1, 2, 3)]
-    found.configured(
+    found.apply_config(
         Deployment(
             models=[Model(name='m', versions=versions)],
             intents=[
@@ -64,15 +70,15 @@
         )
         for one, able in cases:
             with self.subTest(one.serving, status=one.status):
-                found = routes(one).choose(WANT, (), 0)
+                found = routes(one).choose(QUERY, (), 0)
                 self.assertEqual(found is not None, able)
 
     def test_versions_that_changed_too_fast(self) -> None:
         """A declared version serves when no wanted one does."""
         found = routes(engine('a', 'm@v3'))
-        self.assertIsNotNone(found.choose(WANT, (), 0))
+        self.assertIsNotNone(found.choose(QUERY, (), 0))
         found.member_changed(engine('b', 'm@v1'))
-        chosen = found.choose(WANT, (), 0)
+        chosen = found.choose(QUERY, (), 0)
         self.assertEqual(chosen.vm if chosen else '', 'b')
 
     def test_tried_and_suspect_and_far(self) -> None:
@@ -84,7 +90,7 @@
         )
         order: list[str] = []
         for _ in range(3):
-            chosen = found.choose(WANT, order, 0)
+            chosen = found.choose(QUERY, order, 0)
             order.append(chosen.vm if chosen else '')
         self.assertEqual(order, ['near', 'far', 'suspect'])
 
@@ -92,9 +98,9 @@
         """A key's owner is chosen only in the incarnation it names."""
         found = routes(engine('a', incarnation=2))
         for incarnation, able in ((2, True), (1, False)):
-            want = Want('engine', vm='a', incarnation=incarnation)
+            query = EndpointQuery('engine', vm='a', incarnation=incarnation)
             with self.subTest(incarnation):
-                self.assertEqual(found.choose(want, (), 0) is not None, able)
+                self.assertEqual(found.choose(query, (), 0) is not None, able)
 
     def test_slots(self) -> None:
         """Only endpoints that may take calls count as capacity."""
@@ -119,20 +125,20 @@
         for name, other, known, expected in cases:
             with self.subTest(name):
                 found = routes(engine('a'), other)
-                found.entries = 2
+                found.entry_count = 2
                 found.load('a').sent = 5
                 for field, told in known.items():
                     setattr(found.load('b'), field, told)
-                found.load('a').report(0, 10)
-                found.load('b').report(8, 10)
-                chosen = found.choose(WANT, (), 10)
+                found.load('a').record_report(0, 10)
+                found.load('b').record_report(8, 10)
+                chosen = found.choose(QUERY, (), 10)
                 self.assertEqual(chosen.vm if chosen else '', expected)
 
     def test_reports_are_corrected_and_grow_old(self) -> None:
         """What was sent since a report is added; an old one is forgotten."""
         load = Load()
         load.sent = 1
-        load.report(5, 10)
+        load.record_report(5, 10)
         load.sent = 3
         self.assertEqual([load.estimate(10.5), load.estimate(12)], [7, 3])
 
--- a/tests/test_severed.py
+++ b/tests/test_severed.py
@@ -7,7 +7,7 @@
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.dialect import CallHead
 from linnetwood.calls.direct import DirectCall, DirectDispatcher, RetryBounds
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.patience import Silence
 from linnetwood.calls.routebook import Service
 from linnetwood.core.metrics import NoMetrics
@@ -76,7 +76,7 @@
     directory = Directory()
     for port in PORTS:
         name = f'i-{port}'
-        directory.listed(Listed(name, 'pool', 'h', port, 'z', 16, ready=True))
+        directory.update(Endpoint(name, 'pool', 'h', port, 'z', 16, ready=True))
     driver = SeveredDriver()
     dispatcher = DirectDispatcher(
         Chooser(directory, Random(1)),
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -10,9 +10,9 @@
 from unittest import mock
 
 from linnetwood.calls.crashes import Crashes, End
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.grounds import Vigil
-from linnetwood.calls.standing import Report
+from linnetwood.calls.endpointstats import Report
 from linnetwood.core import loops
 from linnetwood.core.clock import SystemClock
 from linnetwood.core.pauses import PauseWatch
@@ -127,8 +127,8 @@
     def test_an_evacuation(self) -> None:
         """Endpoints that were back, and may be cold, have been told by now."""
         directory = Directory()
-        one = Listed('i', 's', '10.0.0.1', 80, 'z1', 8, ready=True)
-        directory.listed(one)
+        one = Endpoint('i', 's', '10.0.0.1', 80, 'z1', 8, ready=True)
+        directory.update(one)
         directory.evacuate(frozenset(('z1',)), self.clock.now())
         directory.evacuate(frozenset(), self.clock.now())
         self.assertTrue(directory.is_cold(one, self.clock.now()))
@@ -144,17 +144,17 @@
 
     def test_a_report(self) -> None:
         """An endpoint's load of before counts for nothing."""
-        report = Report(1, 1, 1, changing=False, heard_at=self.clock.now())
-        self.assertTrue(report.fresh(self.clock.now()))
+        report = Report(1, 1, 1, changing=False, received_at=self.clock.now())
+        self.assertTrue(report.is_fresh(self.clock.now()))
         self.loop.suspend(SUSPENDED_S)
-        self.assertFalse(report.fresh(self.clock.now()))
-        self.assertTrue(report.silent(self.clock.now()))
+        self.assertFalse(report.is_fresh(self.clock.now()))
+        self.assertTrue(report.is_overdue(self.clock.now()))
 
     def test_a_refusal(self) -> None:
         """Callers are told the time that is left, suspensions counted."""
         crashes = Crashes()
-        for life in 'ab':
-            crashes.ended(End('l', life), self.clock.now())
+        for incarnation_id in 'ab':
+            crashes.ended(End('l', incarnation_id), self.clock.now())
         before = crashes.wait_s('l', self.clock.now())
         self.loop.suspend(SUSPENDED_S)
         after = crashes.wait_s('l', self.clock.now())
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from linnetwood.calls.choice import Chooser
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.reports import Reports
 from linnetwood.calls.routebook import RouteBook
 from linnetwood.fleet.listeners import Listeners
@@ -124,8 +124,8 @@
         self.entries = [entry_host(one) for one in range(entries)]
         self.directory = Directory()
         for number, host in enumerate(self.engines):
-            self.directory.listed(
-                Listed(
+            self.directory.update(
+                Endpoint(
                     f'i-{number}',
                     'pool',
                     host,
@@ -144,7 +144,7 @@
     def greet(self) -> None:
         """Let every entry greet once, as it does each second."""
         for number, _ in enumerate(self.entries):
-            self.entry(number)._tell()
+            self.entry(number)._subscribe()
 
     def entry(self, number: int) -> Reports:
         """Give what an entry hears and tells with."""
@@ -213,7 +213,7 @@
             # The most that can be said, of a life with a long name.
             listed = self.directory.at_host(host)
             assert listed is not None
-            mark = listed.life_mark
+            mark = listed.incarnation_mark
             said = EngineSaid(mark, 999999999999, leaving=True)
             talk.heard(News(said=said), (self.entries[0], PORT))
         for _ in range(round(SECONDS / TICK_S)):
