--- a/src/linnetwood/calls/attemptlog.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -3,13 +3,13 @@
 import dataclasses
 
 from linnetwood.calls.attempt import Attempt, AttemptResult
-from linnetwood.calls.choice import Choice, Need
+from linnetwood.calls.choice import Choice, Requirements
 from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.dialect import Urgency
-from linnetwood.calls.directory import Listed
+from linnetwood.calls.directory import Endpoint
+from linnetwood.calls.endpointstats import EndpointStats
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.routetable import Route
-from linnetwood.calls.standing import Standing
 from linnetwood.core.events import Event, log
 from linnetwood.core.metrics import Metric, Metrics
 
@@ -43,12 +43,12 @@
     prompt: int = 0
 
 
-def load_estimate(standing: Standing, now: float) -> LoadEstimate:
+def load_estimate(stats: EndpointStats, now: float) -> LoadEstimate:
     """Say what is believed of an endpoint."""
-    waiting, running = standing.work(now)
-    report = standing.report
-    age_ms = _UNKNOWN_MS if report is None else _ms(now - report.heard_at)
-    slow_ms = _ms(standing.slow_s(now))
+    waiting, running = stats.estimate_work(now)
+    report = stats.report
+    age_ms = _UNKNOWN_MS if report is None else _ms(now - report.received_at)
+    slow_ms = _ms(stats.extra_link_delay_s(now))
     return LoadEstimate(round(waiting, 1), running, age_ms, slow_ms)
 
 
@@ -86,7 +86,7 @@
         call=sent_attempt.call_id,
         likeness=sent_attempt.fingerprint,
         route=route.name,
-        endpoint=sent_attempt.choice.endpoint.endpoint,
+        endpoint=sent_attempt.choice.endpoint.endpoint_id,
         born=sent_attempt.choice.endpoint.born,
         far=sent_attempt.choice.far,
         version=sent_attempt.choice.version,
@@ -115,7 +115,7 @@
 
 
 def log_notice(
-    one: Listed,
+    one: Endpoint,
     notice: Notice,
     call_id: str = '',
     rest_s: float = 0,
@@ -124,20 +124,20 @@
     log(
         Event.ENDPOINT_NOTICE,
         call=call_id,
-        endpoint=one.endpoint,
+        endpoint=one.endpoint_id,
         born=one.born,
         service=one.service,
         limit_per_s=notice.limit_per_s,
         leaving=notice.leaving,
         rest_s=rest_s,
-        unread=notice.unread,
+        unread=notice.unreadable,
     )
 
 
 def log_admission(
     call_id: str,
     route: Route,
-    need: Need,
+    requirements: Requirements,
     choice: Choice,
     estimate: LoadEstimate,
     outcome: str,
@@ -147,15 +147,15 @@
         Event.ADMISSION_DECIDED,
         call=call_id,
         route=route.name,
-        endpoint=choice.endpoint.endpoint,
+        endpoint=choice.endpoint.endpoint_id,
         far=choice.far,
         version=choice.version,
-        prompt=need.prompt,
+        prompt=requirements.prompt_tokens,
         waiting=estimate.waiting,
         running=estimate.running,
         report_age_ms=estimate.report_age_ms,
         predicted_ms=_ms(choice.wait_s),
-        enough_ms=_ms(need.enough_s),
+        enough_ms=_ms(requirements.acceptable_wait_s),
         target_ms=_ms(route.target_s),
         outcome=outcome,
     )
--- a/src/linnetwood/calls/callers.py
+++ b/src/linnetwood/calls/callers.py
@@ -15,7 +15,7 @@
 from linnetwood.calls import keys
 from linnetwood.calls.admission import AdmissionRequest
 from linnetwood.calls.dispatch import Call, Dispatcher, mint_key
-from linnetwood.calls.routing import Routes, Want
+from linnetwood.calls.routing import EndpointQuery, Routes
 from linnetwood.core.clock import Clock
 from linnetwood.core.errors import CallError
 from linnetwood.core.events import Event, log
@@ -264,7 +264,7 @@
             return
         call = Call(
             call_id=secrets.token_hex(8),
-            want=Want(ENGINE_KIND, model=req['model']),
+            query=EndpointQuery(ENGINE_KIND, model=req['model']),
             target=req['model'],
             method='POST',
             path='/generate',
@@ -287,13 +287,13 @@
         key = self.request.headers.get(KEY_HEADER, '')
         method = self.request.method or 'GET'
         try:
-            want = service_want(name, key)
+            query = service_want(name, key)
         except CallError as exc:
             self.end_unanswered(not_run(Code.KEY_MALFORMED, exc.detail))
             return
         call = Call(
             call_id=secrets.token_hex(8),
-            want=want,
+            query=query,
             target=name,
             method=method,
             path=path,
@@ -327,9 +327,9 @@
             detail = f'count: found {count!r}, allowed is 1 to {_MAX_KEYS}'
             self.end_unanswered(not_run(Code.BAD_REQUEST, detail))
             return
-        want = Want(name)
+        query = EndpointQuery(name)
         now = self.context.clock.now()
-        member = self.context.routes.choose(want, (), now)
+        member = self.context.routes.choose(query, (), now)
         if member is None:
             self.end_unanswered(not_run(Code.NO_ENDPOINT, name))
             return
@@ -410,12 +410,12 @@
     return min(MAX_PRIORITY, int(text)) if text.isdecimal() else 0
 
 
-def service_want(name: str, key: str) -> Want:
+def service_want(name: str, key: str) -> EndpointQuery:
     """Give what a call to a service needs; a key names the one endpoint."""
     if not key:
-        return Want(name)
+        return EndpointQuery(name)
     parsed = keys.parse(key)
-    return Want(name, vm=parsed.vm, incarnation=parsed.incarnation)
+    return EndpointQuery(name, vm=parsed.vm, incarnation=parsed.incarnation)
 
 
 def find_service(deployment: Deployment, name: str) -> Service | None:
--- a/src/linnetwood/calls/callparsing.py
+++ b/src/linnetwood/calls/callparsing.py
@@ -7,7 +7,7 @@
 from linnetwood.calls.dialect import CallHead, Dialect
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.fingerprint import call_fingerprint
-from linnetwood.calls.reach import reach_of
+from linnetwood.calls.regionscope import intersect_regions
 from linnetwood.calls.routetable import (
     Organisation,
     Route,
@@ -77,7 +77,9 @@
         incoming.arrived_at,
         incoming.arrived_at + min(wait_limit_s(head), route.timeout_s),
         incoming.config_basis,
-        reach_of(route.regions, organisation.regions if organisation else ()),
+        intersect_regions(
+            route.regions, organisation.regions if organisation else ()
+        ),
         call_fingerprint(
             organisation.name if organisation else '',
             incoming.method,
--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -37,7 +37,7 @@
 CRASH_RECORD_TTL_S = 600.0
 # As many as 250 endpoints leave that crash with 16 calls each; the oldest go.
 _MAX_SUSPECTS = 4096
-_INCARNATION_DIGEST_BYTES = 8
+_INCARNATION_BYTES = 8
 # What everybody sends is answered at least once in so many calls.
 _MAX_ANSWERED = 1024
 
@@ -46,13 +46,13 @@
     """One life of an endpoint that ended under calls that are alike."""
 
     fingerprint: str
-    incarnation: str
+    incarnation_id: str
 
 
-def incarnation_digest(incarnation: str) -> str:
+def incarnation_digest(incarnation_id: str) -> str:
     """Give a short name of a life, whatever the length of its own."""
     digest = hashlib.blake2b(
-        incarnation.encode(), digest_size=_INCARNATION_DIGEST_BYTES
+        incarnation_id.encode(), digest_size=_INCARNATION_BYTES
     )
     return digest.hexdigest()
 
@@ -132,22 +132,22 @@
         self._suspects[record.fingerprint] = suspect
         while len(self._suspects) > _MAX_SUSPECTS:
             self._suspects.pop(next(iter(self._suspects)))
-        is_new = record.incarnation not in suspect.crashed_at
+        is_new = record.incarnation_id not in suspect.crashed_at
         if is_new:
             # What was tried has ended, here or at another entry.
             suspect.trial_until = float()
-        known_at = suspect.crashed_at.get(record.incarnation, at)
-        suspect.crashed_at[record.incarnation] = min(known_at, at)
+        known_at = suspect.crashed_at.get(record.incarnation_id, at)
+        suspect.crashed_at[record.incarnation_id] = min(known_at, at)
         if shared:
-            suspect.shared.add(record.incarnation)
+            suspect.shared.add(record.incarnation_id)
         return is_new
 
     def remove(self, record: CrashRecord) -> None:
         """Take in that an end counts no more for all entries."""
         suspect = self._suspects.get(record.fingerprint)
         if suspect is not None:
-            suspect.crashed_at.pop(record.incarnation, None)
-            suspect.shared.discard(record.incarnation)
+            suspect.crashed_at.pop(record.incarnation_id, None)
+            suspect.shared.discard(record.incarnation_id)
             self._drop_if_clear(record.fingerprint, suspect)
 
     def replace_shared(
@@ -171,16 +171,16 @@
         if suspect is None:
             return []
         return [
-            CrashRecord(fingerprint, incarnation)
-            for incarnation in suspect.crashed_at
+            CrashRecord(fingerprint, incarnation_id)
+            for incarnation_id in suspect.crashed_at
         ]
 
     def expire(self, now: float) -> None:
         """Forget what ended too long ago."""
         for fingerprint, suspect in tuple(self._suspects.items()):
             suspect.crashed_at = {
-                incarnation: at
-                for incarnation, at in suspect.crashed_at.items()
+                incarnation_id: at
+                for incarnation_id, at in suspect.crashed_at.items()
                 if now - at < CRASH_RECORD_TTL_S
             }
             self._drop_if_clear(fingerprint, suspect)
@@ -191,5 +191,5 @@
 
     def _all_shared(self) -> Iterator[CrashRecord]:
         for fingerprint, suspect in self._suspects.items():
-            for incarnation in suspect.shared:
-                yield CrashRecord(fingerprint, incarnation)
+            for incarnation_id in suspect.shared:
+                yield CrashRecord(fingerprint, incarnation_id)
--- a/src/linnetwood/calls/crashsharing.py
+++ b/src/linnetwood/calls/crashsharing.py
@@ -137,7 +137,7 @@
             await asyncio.sleep(self._rng.uniform(first_s, spread_s))
 
     def _spread_s(self) -> float:
-        if len({record.incarnation for record in self._to_add}) <= 1:
+        if len({record.incarnation_id for record in self._to_add}) <= 1:
             return 0
         return min(_MAX_SPREAD_S, self._entries() / _MAX_CALLS_PER_S)
 
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -14,7 +14,7 @@
     CrashRecord,
     incarnation_digest,
 )
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.core.clock import Clock
 from linnetwood.core.events import Event, log
 
@@ -39,7 +39,7 @@
     """What a dispatcher tells of the calls that it runs."""
 
     def note_lost(
-        self, fingerprint: str, endpoint: Listed, streamed_s: float
+        self, fingerprint: str, endpoint: Endpoint, streamed_s: float
     ) -> None:
         """Note that an answer broke off; events had come for so long."""
 
@@ -54,7 +54,7 @@
     """Suspect nobody."""
 
     def note_lost(
-        self, fingerprint: str, endpoint: Listed, streamed_s: float
+        self, fingerprint: str, endpoint: Endpoint, streamed_s: float
     ) -> None:
         """Note nothing."""
 
@@ -104,21 +104,21 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def note_lost(
-        self, fingerprint: str, endpoint: Listed, streamed_s: float
+        self, fingerprint: str, endpoint: Endpoint, streamed_s: float
     ) -> None:
         """Suspect a call, until it is known why its answer broke off."""
         if not fingerprint or streamed_s >= _HEALTHY_STREAM_S:
             return
-        listed = self._directory.get(endpoint.endpoint)
+        listed = self._directory.get(endpoint.endpoint_id)
         if listed is None or not listed.ready:
             # Its end was told beforehand.
             return
-        suspects = self._suspects.setdefault(endpoint.life, {})
+        suspects = self._suspects.setdefault(endpoint.incarnation_id, {})
         if len(suspects) < _MAX_SUSPECTS:
             suspects[fingerprint] = self._clock.now()
-        if endpoint.life not in self._checks:
+        if endpoint.incarnation_id not in self._checks:
             task = asyncio.create_task(self._check(endpoint))
-            self._checks[endpoint.life] = task
+            self._checks[endpoint.incarnation_id] = task
 
     def note_answered(self, fingerprint: str) -> None:
         """Clear calls like this one, here and for all entries."""
@@ -133,18 +133,18 @@
         """Tell whether a call may be sent to a second endpoint."""
         return self._crashes.may_retry(fingerprint)
 
-    async def _check(self, endpoint: Listed) -> None:
+    async def _check(self, endpoint: Endpoint) -> None:
         try:
             why = await self._crash_evidence(endpoint)
-            while why and self._suspects.get(endpoint.life):
+            while why and self._suspects.get(endpoint.incarnation_id):
                 self._record_crash(endpoint, why)
                 # Other answers break off within milliseconds of the first.
                 await asyncio.sleep(_RESTART_CHECK_S)
         finally:
-            self._suspects.pop(endpoint.life, None)
-            self._checks.pop(endpoint.life, None)
+            self._suspects.pop(endpoint.incarnation_id, None)
+            self._checks.pop(endpoint.incarnation_id, None)
 
-    async def _crash_evidence(self, endpoint: Listed) -> str:
+    async def _crash_evidence(self, endpoint: Endpoint) -> str:
         """Give what shows that the life has ended, or nothing."""
         for pause_s in _PROBE_PAUSES_S:
             await asyncio.sleep(pause_s)
@@ -156,20 +156,20 @@
             await asyncio.sleep(_RESTART_CHECK_S)
         return ''
 
-    def _is_replaced(self, endpoint: Listed) -> bool:
+    def _is_replaced(self, endpoint: Endpoint) -> bool:
         current = self._directory.at_host(endpoint.host)
         if current is None or current.port != endpoint.port:
             return False
         return (
-            current.life != endpoint.life
+            current.incarnation_id != endpoint.incarnation_id
             and current.service == endpoint.service
         )
 
-    def _record_crash(self, endpoint: Listed, why: str) -> None:
-        suspects = self._suspects[endpoint.life]
+    def _record_crash(self, endpoint: Endpoint, why: str) -> None:
+        suspects = self._suspects[endpoint.incarnation_id]
         log(
             Event.ENDPOINT_CRASHED,
-            endpoint=endpoint.endpoint,
+            endpoint=endpoint.endpoint_id,
             born=endpoint.born,
             service=endpoint.service,
             why=why,
@@ -177,7 +177,7 @@
             likenesses=list(suspects)[:_MAX_LOGGED],
         )
         self._crashes.expire(self._clock.now())
-        digest = incarnation_digest(endpoint.life)
+        digest = incarnation_digest(endpoint.incarnation_id)
         for fingerprint, at in suspects.items():
             record = CrashRecord(fingerprint, digest)
             if self._crashes.add(record, at):
--- a/src/linnetwood/calls/deadlineadmission.py
+++ b/src/linnetwood/calls/deadlineadmission.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from linnetwood.calls.attemptlog import load_estimate, log_admission
-from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.choice import Choice, Chooser, Requirements
 from linnetwood.calls.dialect import Urgency
 from linnetwood.calls.direct import DirectCall
 from linnetwood.calls.policy.firstattempts import (
@@ -30,7 +30,7 @@
 class RequirementsSource(Protocol):
     """Say what calls ask of endpoints."""
 
-    def need(self, call: DirectCall) -> Need:
+    def requirements(self, call: DirectCall) -> Requirements:
         """Say it for one call."""
 
 
@@ -59,24 +59,26 @@
         if call.service.engine is None:
             return Urgency.IN_TIME
         now = self._clock.now()
-        need = self._dispatcher.need(call)
-        choice = self._chooser.choose(need, (), now)
+        requirements = self._dispatcher.requirements(call)
+        choice = self._chooser.choose(requirements, (), now)
         traits = CallTraits(
             call.route.name, call.head.wait_s, call.route.target_s
         )
         first = self._first_attempts.is_first(traits, now)
         if choice is None:
-            limited_s = self._chooser.limited_s(need, now)
-            why = 'limited' if limited_s else 'none'
-            return self._refusal(Code.NO_ENDPOINT, call, why, limited_s)
+            rate_limited_s = self._chooser.rate_limited_s(requirements, now)
+            why = 'limited' if rate_limited_s else 'none'
+            return self._refusal(Code.NO_ENDPOINT, call, why, rate_limited_s)
         if not (first or self._has_retry_capacity(call.service, choice)):
-            self._log_decision(call, need, choice, 'returned')
+            self._log_decision(call, requirements, choice, 'returned')
             return self._refusal(Code.OVERLOADED, call, 'came back')
-        if choice.wait_s <= need.enough_s:
+        if choice.wait_s <= requirements.acceptable_wait_s:
             self._retry_after.admitted(now)
             return Urgency.IN_TIME
-        late = self._has_room_for_late(need)
-        self._log_decision(call, need, choice, 'late' if late else 'refused')
+        late = self._has_room_for_late(requirements)
+        self._log_decision(
+            call, requirements, choice, 'late' if late else 'refused'
+        )
         if late:
             return Urgency.LATE
         detail = f'predicted {round(choice.wait_s * _MILLISECONDS)} ms'
@@ -86,39 +88,39 @@
         """Tell whether a caller who comes back keeps out no first try."""
         if service.engine is None:
             return True
-        standing = self._chooser.standing(choice.endpoint.life)
-        used_slots = sum(standing.work(self._clock.now()))
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+        used_slots = sum(stats.estimate_work(self._clock.now()))
         return self._retry_capacity(SlotUsage(used_slots, service.engine.slots))
 
-    def _has_room_for_late(self, need: Need) -> bool:
+    def _has_room_for_late(self, requirements: Requirements) -> bool:
         """Tell whether a late call would take nobody's place.
 
         A slot must be free: late calls that fill the last ones keep out those
         that come first and would be in time.
         """
         now = self._clock.now()
-        need = dataclasses.replace(need, urgent=False)
-        choice = self._chooser.choose(need, (), now)
-        engine = need.service.engine
+        requirements = dataclasses.replace(requirements, urgent=False)
+        choice = self._chooser.choose(requirements, (), now)
+        engine = requirements.service.engine
         if choice is None or engine is None:
             return False
-        standing = self._chooser.standing(choice.endpoint.life)
-        waiting, running = standing.work(now)
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+        waiting, running = stats.estimate_work(now)
         return waiting + running < engine.slots - _RESERVED_SLOTS
 
     def _log_decision(
         self,
         call: DirectCall,
-        need: Need,
+        requirements: Requirements,
         choice: Choice,
         outcome: str,
     ) -> None:
-        standing = self._chooser.standing(choice.endpoint.life)
-        estimate = load_estimate(standing, self._clock.now())
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+        estimate = load_estimate(stats, self._clock.now())
         log_admission(
             call.head.call_id,
             call.route,
-            need,
+            requirements,
             choice,
             estimate,
             outcome,
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -21,18 +21,18 @@
     log_attempt,
     log_notice,
 )
-from linnetwood.calls.choice import Choice, Chooser, Need
+from linnetwood.calls.choice import Choice, Chooser, Requirements
 from linnetwood.calls.configbasis import ConfigBasis
 from linnetwood.calls.crashwatch import CrashObserver, NoCrashWatch
 from linnetwood.calls.dialect import CallHead, Dialect, OutgoingCall, Urgency
-from linnetwood.calls.directory import Listed
+from linnetwood.calls.directory import Endpoint
+from linnetwood.calls.endpointstats import EndpointStats
 from linnetwood.calls.notices import Notice
 from linnetwood.calls.policy.lateness import Lateness, MeanLateness
-from linnetwood.calls.reach import ANYWHERE, Reach
+from linnetwood.calls.regionscope import ANY_REGION, RegionScope
 from linnetwood.calls.retries import RETRY_SHARE, RetryBudget
 from linnetwood.calls.routetable import Organisation, Repeat, Route, Service
 from linnetwood.calls.silencetimeouts import SilenceTimeouts
-from linnetwood.calls.standing import Standing
 from linnetwood.core.metrics import Metrics
 from linnetwood.core.outcomes import (
     ANSWERED,
@@ -76,7 +76,7 @@
     arrived_at: float
     deadline: float
     config_basis: ConfigBasis = ConfigBasis()
-    reach: Reach = ANYWHERE
+    region_scope: RegionScope = ANY_REGION
     # What it shares with calls that ask the same; nothing where unknown.
     fingerprint: str = ''
 
@@ -94,7 +94,7 @@
     reserve: float = 4
 
 
-def _ignore_notice(one: Listed, now: float) -> None:
+def _ignore_notice(one: Endpoint, now: float) -> None:
     """Keep to itself what an endpoint says."""
 
 
@@ -115,7 +115,7 @@
         self.retry_limits = RetryLimits()
         self.crash_observer: CrashObserver = NoCrashWatch()
         # Told of each endpoint that has said something of itself just now.
-        self.on_notice: Callable[[Listed, float], None] = _ignore_notice
+        self.on_notice: Callable[[Endpoint, float], None] = _ignore_notice
         self._budgets: dict[str, RetryBudget] = {}
         self._new_lateness = lateness
         self._lateness: dict[str, Lateness] = {}
@@ -127,10 +127,10 @@
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
 
-    def need(self, call: DirectCall) -> Need:
+    def requirements(self, call: DirectCall) -> Requirements:
         """Say what the call asks of an endpoint."""
         model = call.head.model if call.service.engine else ''
-        return Need(
+        return Requirements(
             call.service,
             self._zone,
             call.head.prompt,
@@ -138,10 +138,10 @@
             self._wanted.oldest_allowed(model, self._loop.time())
             if model
             else 0,
-            closing=self._wanted.cutoffs(model),
-            enough_s=self._max_wait_s(call),
-            reach=call.reach,
-            lot=hash64(call.head.call_id),
+            version_deadlines=self._wanted.cutoffs(model),
+            acceptable_wait_s=self._max_wait_s(call),
+            region_scope=call.region_scope,
+            sample_number=hash64(call.head.call_id),
         )
 
     async def run(
@@ -158,19 +158,19 @@
         while True:
             now = self._loop.time()
             # One answer comes of one version, also when it is resumed.
-            need = dataclasses.replace(
-                self.need(call),
+            requirements = dataclasses.replace(
+                self.requirements(call),
                 exact_version=answer.version,
                 urgent=urgency is Urgency.IN_TIME,
             )
-            choice = self._chooser.choose(need, history.tried, now)
+            choice = self._chooser.choose(requirements, history.tried, now)
             if choice is None:
-                limited_s = self._chooser.limited_s(need, now)
-                return history.no_endpoint(answer, limited_s)
+                rate_limited_s = self._chooser.rate_limited_s(requirements, now)
+                return history.no_endpoint(answer, rate_limited_s)
             result = await self._run_attempt(
-                call, need, choice, answer, urgency
+                call, requirements, choice, answer, urgency
             )
-            history.add(choice.endpoint.life, result)
+            history.add(choice.endpoint.incarnation_id, result)
             if result.outcome is AttemptOutcome.ANSWERED:
                 self._deliver(answer, result)
                 return ANSWERED
@@ -182,7 +182,7 @@
         """Give the wait that may be predicted for a call that is in time."""
         target_s = call.route.target_s
         lateness = self._lateness_of(call.service.name)
-        return target_s - lateness.allowed_s(target_s, self._loop.time())
+        return target_s - lateness.margin_s(target_s, self._loop.time())
 
     def _lateness_of(self, service: str) -> Lateness:
         found = self._lateness.get(service)
@@ -204,7 +204,7 @@
     async def _run_attempt(
         self,
         call: DirectCall,
-        need: Need,
+        requirements: Requirements,
         choice: Choice,
         answer: AnswerStream,
         urgency: Urgency,
@@ -225,22 +225,24 @@
             streams=call.route.streams,
             clock_now=now,
         )
-        outgoing = self._outgoing_call(call, need, choice, answer, urgency)
-        standing = self._chooser.standing(choice.endpoint.life)
+        outgoing = self._outgoing_call(
+            call, requirements, choice, answer, urgency
+        )
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
         sent_attempt = SentAttempt(
             call.head.call_id,
             call.fingerprint,
             call.route,
             choice,
             urgency,
-            load_estimate(standing, now),
+            load_estimate(stats, now),
             now,
             call.config_basis,
             call.head.prompt,
         )
-        standing.sent()
-        self._chooser.sent(call.service, choice.endpoint, now)
-        waiting_count = _WaitingCount(standing, urgency)
+        stats.record_sent()
+        self._chooser.record_sent(call.service, choice.endpoint, now)
+        waiting_count = _WaitingCount(stats, urgency)
         attempt.on_start = functools.partial(
             self._on_begun,
             call,
@@ -256,7 +258,7 @@
             )
         finally:
             waiting_count.release()
-            standing.ended()
+            stats.record_ended()
         self._update_stats(call.service, sent_attempt, attempt, result)
         self._report_to_crash_observer(call, choice, attempt, result)
         if (
@@ -271,14 +273,14 @@
     def _outgoing_call(
         self,
         call: DirectCall,
-        need: Need,
+        requirements: Requirements,
         choice: Choice,
         answer: AnswerStream,
         urgency: Urgency,
     ) -> OutgoingCall:
-        bound = bool(need.least_version or need.exact_version)
+        bound = bool(requirements.min_version or requirements.exact_version)
         return OutgoingCall(
-            choice.endpoint.endpoint,
+            choice.endpoint.endpoint_id,
             call.deadline - self._loop.time(),
             call.organisation.name if call.organisation else '',
             choice.version if bound else 0,
@@ -315,8 +317,8 @@
                 call.head.model, choice.version
             )
             # What takes it back must arrive before the bound as well.
-            standing = self._chooser.standing(choice.endpoint.life)
-            start_by -= standing.slow_s(self._loop.time())
+            stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
+            start_by -= stats.extra_link_delay_s(self._loop.time())
         if not call.route.streams or call.route.repeat is not Repeat.RESUME:
             return AttemptLimits(call.deadline, start_by, math.inf, math.inf)
         timeouts = SilenceTimeouts.for_route(call.route)
@@ -332,7 +334,9 @@
         self, choice: Choice, limits: AttemptLimits, now: float
     ) -> bool:
         """Tell whether it has time there before it is taken back."""
-        slow_s = self._chooser.standing(choice.endpoint.life).slow_s(now)
+        slow_s = self._chooser.stats_of(
+            choice.endpoint.incarnation_id
+        ).extra_link_delay_s(now)
         remaining_s = limits.start_by - now - slow_s
         return not slow_s or remaining_s >= _MIN_TIME_TO_BEGIN_S
 
@@ -351,15 +355,17 @@
         one = sent_attempt.choice.endpoint
         now = self._loop.time()
         notices = self._chooser.notices
-        if notices.heard(one.life, notice, now):
-            known = notices.of(one.life)
-            log_notice(one, known, sent_attempt.call_id, notice.rest_s)
+        if notices.record(one.incarnation_id, notice, now):
+            known = notices.latest(one.incarnation_id)
+            log_notice(one, known, sent_attempt.call_id, notice.retry_after_s)
         self.on_notice(one, now)
 
     def _note_begun(self, sent_attempt: SentAttempt) -> None:
-        standing = self._chooser.standing(sent_attempt.choice.endpoint.life)
+        stats = self._chooser.stats_of(
+            sent_attempt.choice.endpoint.incarnation_id
+        )
         waited_s = self._loop.time() - sent_attempt.sent_at
-        standing.began(
+        stats.record_start(
             sent_attempt.sent_at, waited_s - sent_attempt.choice.wait_s
         )
 
@@ -371,7 +377,7 @@
             return
         now = self._loop.time()
         lateness = self._lateness_of(call.service.name)
-        lateness.seen(
+        lateness.record(
             sent_attempt.choice.wait_s, now - sent_attempt.sent_at, now
         )
 
@@ -383,17 +389,17 @@
         result: AttemptResult,
     ) -> None:
         choice = sent_attempt.choice
-        standing = self._chooser.standing(choice.endpoint.life)
+        stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
         if result.outcome is AttemptOutcome.ANSWERED:
-            standing.answered()
+            stats.record_success()
             if not attempt.first_event_at:
                 self._note_begun(sent_attempt)
         elif not result.reached or result.outcome is AttemptOutcome.STALLED:
             now = self._loop.time()
-            standing.unreachable(now)
-            self._chooser.lost(service, choice.endpoint, now)
+            stats.record_unreachable(now)
+            self._chooser.record_unreachable(service, choice.endpoint, now)
         elif result.outcome in {AttemptOutcome.FAILED, AttemptOutcome.LOST}:
-            standing.failed()
+            stats.record_failure()
 
     def _report_to_crash_observer(
         self,
@@ -463,24 +469,24 @@
 class _WaitingCount:
     """Count a call among those that wait at an endpoint until it begins."""
 
-    __slots__ = ('_standing', '_urgency')
+    __slots__ = ('_stats', '_urgency')
 
-    def __init__(self, standing: Standing, urgency: Urgency) -> None:
-        self._standing: Standing | None = standing
+    def __init__(self, stats: EndpointStats, urgency: Urgency) -> None:
+        self._stats: EndpointStats | None = stats
         self._urgency = urgency
-        self._count(standing, 1)
+        self._count(stats, 1)
 
     def release(self) -> None:
-        standing = self._standing
-        if standing is not None:
-            self._standing = None
-            self._count(standing, -1)
+        stats = self._stats
+        if stats is not None:
+            self._stats = None
+            self._count(stats, -1)
 
-    def _count(self, standing: Standing, change: int) -> None:
+    def _count(self, stats: EndpointStats, change: int) -> None:
         if self._urgency is Urgency.LATE:
-            standing.late_waiting += change
+            stats.late_waiting += change
         else:
-            standing.urgent_waiting += change
+            stats.urgent_waiting += change
 
 
 class _AttemptHistory:
@@ -493,18 +499,22 @@
         self.reached = 0
         self.may_have_run = False
 
-    def add(self, life: str, result: AttemptResult) -> None:
-        self.tried.add(life)
+    def add(self, incarnation_id: str, result: AttemptResult) -> None:
+        self.tried.add(incarnation_id)
         self.reached += result.reached
         if result.outcome is not AttemptOutcome.NOT_RUN:
             self.may_have_run = True
 
-    def no_endpoint(self, answer: AnswerStream, limited_s: float) -> Ending:
+    def no_endpoint(
+        self, answer: AnswerStream, rate_limited_s: float
+    ) -> Ending:
         """End a call that no endpoint takes, or none before some seconds."""
         ending = self.ending(answer, Code.NO_ENDPOINT)
-        if ending.outcome is not Outcome.NOT_RUN or not limited_s:
+        if ending.outcome is not Outcome.NOT_RUN or not rate_limited_s:
             return ending
-        after_ms = max(_RETRY_AFTER_MS, math.ceil(limited_s * _MILLISECONDS))
+        after_ms = max(
+            _RETRY_AFTER_MS, math.ceil(rate_limited_s * _MILLISECONDS)
+        )
         return not_run(Code.NO_ENDPOINT, 'limited', after_ms)
 
     def ending(
--- a/src/linnetwood/platform/crashstore.py
+++ b/src/linnetwood/platform/crashstore.py
@@ -126,4 +126,4 @@
 
 def crash_key(crash: CrashRecord) -> str:
     """Give the key under which an end stands."""
-    return f'{records.CRASH_PREFIX}{crash.fingerprint}/{crash.incarnation}'
+    return f'{records.CRASH_PREFIX}{crash.fingerprint}/{crash.incarnation_id}'
--- a/src/linnetwood/programs/entry.py
+++ b/src/linnetwood/programs/entry.py
@@ -110,7 +110,7 @@
 
     def configured(self, configuration: Configuration) -> None:
         """Put a newer configuration in force."""
-        self.routes.configured(configuration.deployment)
+        self.routes.apply_config(configuration.deployment)
         self.gate.configured(configuration.deployment)
         self.context.deployment = configuration.deployment
 
@@ -122,11 +122,11 @@
         """Route by the newest statement."""
         self.routes.member_changed(member)
         if member.role == ENTRY:
-            self.routes.entries = self._entries()
+            self.routes.entry_count = self._entries()
 
     def load_reported(self, vm: str, load: int) -> None:
         """Choose by the newest word of an endpoint's load."""
-        self.routes.load(vm).report(load, self.runtime.clock.now())
+        self.routes.load(vm).record_report(load, self.runtime.clock.now())
 
     def _entries(self) -> int:
         """Count the entries that share the endpoints, at least this one."""
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -91,7 +91,7 @@
             cfg.zone,
             self._selector,
         )
-        self.dispatcher.on_notice = self.reports.noticed
+        self.dispatcher.on_notice = self.reports.forward_notice
         self.config_age = ConfigAgeTracker(
             clock,
             lambda: self._follower.confirmed_at,
@@ -108,8 +108,8 @@
         )
         metrics.gauge(Metric.CONFIG_VERSION, lambda: self.route_table.version)
         metrics.gauge(Metric.STORE_AGE_S, self.config_age.store_age_s)
-        chooser.entries = lambda: self.reports.entries
-        crashes.entries = chooser.entries
+        chooser.entry_count = lambda: self.reports.entry_count
+        crashes.entries = chooser.entry_count
         self._figures = FiguresPage(metrics)
         wake = self.reports.wake
         ignored = Ignored(lambda: metrics.count(Metric.RECORDS_IGNORED))
@@ -131,11 +131,11 @@
             feed,
             self._selector,
             rng,
-            {FrameKind.PEERS_REQUEST: self.reports.greetings.peers.serve},
-            self.reports.ask,
+            {FrameKind.PEERS_REQUEST: self.reports.subscriptions.peers.serve},
+            self.reports.request_neighbours,
         )
         self._follower = self._news.follower
-        self.reports.greetings.revision = lambda: self._follower.revision
+        self.reports.subscriptions.revision = lambda: self._follower.revision
         self._callers = open_server(self.frontend, self.route_table.limits)
         self._servers: list[HTTPServer] = []
 
@@ -205,7 +205,7 @@
 
     def _share_retries(self) -> None:
         # All entries share one budget without talk: each takes its part.
-        entries = max(1, self.reports.entries)
+        entries = max(1, self.reports.entry_count)
         self.dispatcher.retry_limits = RetryLimits(
             self._cfg.retry_share * _RETRY_PART,
             max(1, self._cfg.retry_extra * _RETRY_PART / entries),
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -174,9 +174,9 @@
         endpoint.down_until = now + RESTART_S
         endpoint.crashes_at = None
         self.incarnations += 1
-        incarnation = incarnation_digest(f'i-{self.incarnations}')
+        incarnation_id = incarnation_digest(f'i-{self.incarnations}')
         for fingerprint, entry, _, _ in running:
-            crash = CrashRecord(fingerprint, incarnation)
+            crash = CrashRecord(fingerprint, incarnation_id)
             if self.entries[entry].add(crash, now):
                 self.pending.append((now + SHARE_DELAY_S, crash, True))
         for row in running:
@@ -276,10 +276,10 @@
     def setUp(self) -> None:
         self.crashes = CrashHistory()
 
-    def crash(self, *incarnations: str, at: float = 0) -> None:
+    def crash(self, *incarnation_ids: str, at: float = 0) -> None:
         """Let lives end under calls that are alike."""
-        for incarnation in incarnations:
-            self.crashes.add(CrashRecord(FATAL, incarnation), at)
+        for incarnation_id in incarnation_ids:
+            self.crashes.add(CrashRecord(FATAL, incarnation_id), at)
 
     def test_one_end_is_borne(self) -> None:
         """Whoever was near by is tried elsewhere."""
@@ -381,15 +381,15 @@
         """A call is refused where two lives ended since its last answer."""
         crashes = CrashHistory()
         held: dict[str, set[str]] = {'x': set(), 'y': set()}
-        for action, fingerprint, incarnation in steps:
-            crash = CrashRecord(fingerprint, incarnation)
+        for action, fingerprint, incarnation_id in steps:
+            crash = CrashRecord(fingerprint, incarnation_id)
             if action == 'ended':
-                is_new = incarnation not in held[fingerprint]
+                is_new = incarnation_id not in held[fingerprint]
                 self.assertEqual(crashes.add(crash, 0), is_new)
-                held[fingerprint].add(incarnation)
+                held[fingerprint].add(incarnation_id)
             elif action == 'withdrawn':
                 crashes.remove(crash)
-                held[fingerprint].discard(incarnation)
+                held[fingerprint].discard(incarnation_id)
             else:
                 crashes.note_answered(fingerprint)
                 held[fingerprint].clear()
--- a/tests/test_crashtelling.py
+++ b/tests/test_crashtelling.py
@@ -146,9 +146,9 @@
             fleet = Fleet()
             rng = Random(3)
             for number in range(ENDPOINTS):
-                incarnation = incarnation_digest(f'i-{number}')
+                incarnation_id = incarnation_digest(f'i-{number}')
                 for call in range(CALLS):
-                    crash = CrashRecord(f'{number}-{call}', incarnation)
+                    crash = CrashRecord(f'{number}-{call}', incarnation_id)
                     rng.choice(fleet.publishers).share(crash)
             await asyncio.sleep(30)
             await fleet.close()
@@ -166,7 +166,7 @@
             fleet = Fleet()
             for call in range(CALLS):
                 fleet.publishers[call].share(
-                    CrashRecord(f'l-{call}', CRASH.incarnation)
+                    CrashRecord(f'l-{call}', CRASH.incarnation_id)
                 )
             await asyncio.sleep(30)
             await fleet.close()
--- a/tests/test_crashwatch.py
+++ b/tests/test_crashwatch.py
@@ -12,15 +12,15 @@
 )
 from linnetwood.calls.crashsharing import CrashPublisher
 from linnetwood.calls.crashwatch import CrashWatch
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.core.errors import StoreError
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from linnetwood.lab.virtual import VirtualClock, run
 from linnetwood.platform.crashstore import CrashFeed, crash_key
 
 FINGERPRINT = 'c0' * 12
-ENDPOINT = Listed('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True, born=5)
-CRASH = CrashRecord(FINGERPRINT, incarnation_digest(ENDPOINT.life))
+ENDPOINT = Endpoint('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True, born=5)
+CRASH = CrashRecord(FINGERPRINT, incarnation_digest(ENDPOINT.incarnation_id))
 
 
 class RecordedReports:
@@ -66,7 +66,7 @@
         self.probe_results = list(refused)
         self.crashes = CrashHistory()
         self.directory = Directory()
-        self.directory.listed(ENDPOINT)
+        self.directory.update(ENDPOINT)
         self.reports = RecordedReports()
         self.watch = CrashWatch(
             self.crashes,
@@ -93,18 +93,18 @@
         self,
         *refused: bool,
         streamed_s: float = 0,
-        before: Listed | None = None,
-        after: Listed | None = None,
+        before: Endpoint | None = None,
+        after: Endpoint | None = None,
     ) -> int:
         """Give how many ends are held against the call."""
 
         async def play() -> int:
             scene = Scene(*refused)
             if before is not None:
-                scene.directory.listed(before)
+                scene.directory.update(before)
             if after is not None:
                 loop = asyncio.get_running_loop()
-                loop.call_later(2, scene.directory.listed, after)
+                loop.call_later(2, scene.directory.update, after)
             return await scene.lose_answer(streamed_s)
 
         return run(play())
@@ -121,21 +121,23 @@
     def test_another_life_at_the_address(self) -> None:
         """Under its id or another one: the earlier life has ended."""
         for other in (
-            Listed('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, True, born=9),
-            Listed('i-2', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True),
+            Endpoint('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, True, born=9),
+            Endpoint('i-2', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True),
         ):
-            with self.subTest(other=other.endpoint):
+            with self.subTest(other=other.endpoint_id):
                 crash_count = self.count_crashes(after=other)
                 self.assertEqual(crash_count, 1)
 
     def test_an_address_that_others_use_now(self) -> None:
         """Another service says nothing of this one."""
-        other = Listed('i-9', 'desk', '10.0.0.1', 80, 'z1', 8, ready=True)
+        other = Endpoint('i-9', 'desk', '10.0.0.1', 80, 'z1', 8, ready=True)
         self.assertEqual(self.count_crashes(after=other), 0)
 
     def test_an_end_that_was_told_beforehand(self) -> None:
         """A drain ends calls that outlast it; that is no crash."""
-        leaving = Listed('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, False, born=5)
+        leaving = Endpoint(
+            'i-1', 'pool', '10.0.0.1', 80, 'z1', 8, False, born=5
+        )
         crash_count = self.count_crashes(True, before=leaving)
         self.assertEqual(crash_count, 0)
 
@@ -144,7 +146,7 @@
 
         async def play() -> int:
             scene = Scene(True)
-            scene.directory.dropped('i-1', 0)
+            scene.directory.mark_removed('i-1', 0)
             return await scene.lose_answer()
 
         self.assertEqual(run(play()), 0)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -11,7 +11,7 @@
 from linnetwood.calls.configbasis import ConfigAgeTracker
 from linnetwood.calls.deadlineadmission import DeadlineAdmission
 from linnetwood.calls.direct import DirectDispatcher
-from linnetwood.calls.directory import Directory, Listed
+from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.frontend import Frontend, open_server
 from linnetwood.calls.policy.retryafter import LastPart
 from linnetwood.calls.routetable import (
@@ -162,8 +162,8 @@
         server = Server(behave)
         self.back.append(server)
         port = await server.start()
-        self.directory.listed(
-            Listed('i-1', 'desk', HOST, port, 'z1', 6, ready=True),
+        self.directory.update(
+            Endpoint('i-1', 'desk', HOST, port, 'z1', 6, ready=True),
         )
         return server
 
