--- a/src/linnetwood/fleet/__init__.py
+++ b/src/linnetwood/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Who is there and what the operators want of them.
+"""Membership of the fleet and the configuration that operators give it.
 
-Configuration and statements of members come in; views, placements and changes
-go out.
+Takes in configurations and member records; provides views of the members,
+placements of model versions and configuration changes.
 """
--- a/src/linnetwood/fleet/gossip.py
+++ b/src/linnetwood/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Carry membership and revisions in datagrams; own the UDP socket."""
+"""Exchange member records and configuration revisions over UDP."""
 
 import asyncio
 import enum
@@ -25,14 +25,14 @@
 _NO_LOAD = -1
 _PENDING_LIMIT = 4096
 _JITTER_LOW = 0.9
-# IPv4 and UDP headers count towards the budget too.
+# IPv4 and UDP headers are counted as control traffic, too.
 _HEADER_BYTES = 28
 _DIGESTS = struct.Struct(f'>{BUCKETS}I')
 Address = tuple[str, int]
 
 
 class GossipKind(enum.IntEnum):
-    """Say what a datagram is for."""
+    """What a datagram is for; the numbers are sent."""
 
     HEARTBEAT = 1
     PING = 2
@@ -43,24 +43,25 @@
     HELD_CHUNKS = 7
 
 
-# Answers that show how new the sender's configuration is.
+# Replies whose revision is passed on even if it is no newer than the own one:
+# they show how new the sender's configuration is.
 _REVISION_ANSWERS = frozenset((GossipKind.ACK, GossipKind.SYNC_REPLY))
 
 
 class Listener:
-    """Hear what gossip learns; each kind of news is ignored unless taken."""
+    """Receive what gossip learns; each method does nothing by default."""
 
     def member_changed(self, member: Member) -> None:
-        """Learn a newer statement."""
+        """Take in a newer record of a member."""
 
     def revision_seen(self, revision: int, source: Address) -> None:
-        """Learn that a process holds a revision."""
+        """Note that the process at an address holds a revision."""
 
     def chunks_reported(self, notice: HeldNotice) -> None:
-        """Learn which chunks a peer holds."""
+        """Note which chunks a peer holds."""
 
     def load_reported(self, vm: str, load: int) -> None:
-        """Learn how many calls an endpoint has under way now."""
+        """Note how many calls an endpoint has in flight now."""
 
 
 class GossipTask(asyncio.DatagramProtocol):
@@ -74,7 +75,7 @@
         rng: Random,
         seal: Seal | None = None,
     ) -> None:
-        """Start nothing yet."""
+        """Prepare the protocol; `start` opens the socket."""
         self._seal: Seal = seal or NoSeal()
         self.membership = membership
         self.revision = 0
@@ -94,20 +95,23 @@
 
     @property
     def own_record(self) -> Member:
-        """Give the statement this process makes of itself."""
+        """Return the record of this process."""
         return self.membership.own_record
 
     @property
     def members(self) -> dict[str, Member]:
-        """Give the newest statement about each process."""
+        """Return the newest record of each process, by VM."""
         return self.membership.view.members
 
     def add_listener(self, listener: Listener) -> None:
-        """Add somebody who wants to hear."""
+        """Call a listener for all that gossip learns from now on."""
         self._listeners.append(listener)
 
     async def start(self, host: str, port: int, peers: Iterable[str]) -> None:
-        """Bind the socket, greet the peers and begin to tick."""
+        """Bind the socket, sync with the peers and start the timers.
+
+        Peers are `host:port` addresses from the settings.
+        """
         loop = asyncio.get_running_loop()
         opened = await loop.create_datagram_endpoint(
             lambda: self,
@@ -135,13 +139,13 @@
         ]
 
     def sync_with(self, peers: Iterable[str]) -> None:
-        """Ask processes known by address only for their views."""
+        """Request the views of processes known only by their address."""
         for peer in peers:
             host, _, port = peer.rpartition(':')
             self._send_sync((host, int(port)), GossipKind.SYNC)
 
     async def close(self) -> None:
-        """Stop ticking and release the socket."""
+        """Send what is pending, stop the timers and close the socket."""
         self._send_pending()
         for task in self._tasks:
             task.cancel()
@@ -150,22 +154,22 @@
             self._transport.close()
 
     def update_self(self, **changes: object) -> None:
-        """Change what this process says of itself and spread it."""
+        """Change fields of the record of this process and disseminate it."""
         self.disseminate(self.membership.update_self(**changes))
 
     def receive_record(self, member: Member) -> None:
-        """Take in a statement and pass it on if it is new."""
-        news = self.membership.receive(member, self._clock.now())
-        if news is None:
+        """Take in a record; disseminate it and call listeners if it is new."""
+        record = self.membership.receive(member, self._clock.now())
+        if record is None:
             return
-        self.disseminate(news)
-        if news.status >= Health.SUSPECT:
-            log(Event.MEMBER_DOUBTED, vm=news.vm, status=news.status)
+        self.disseminate(record)
+        if record.status >= Health.SUSPECT:
+            log(Event.MEMBER_DOUBTED, vm=record.vm, status=record.status)
         for listener in self._listeners:
-            listener.member_changed(news)
+            listener.member_changed(record)
 
     def disseminate(self, member: Member) -> None:
-        """Pass a statement on with the next batch."""
+        """Queue a record for the next batch; drop it if the queue is full."""
         if len(self._pending) >= _PENDING_LIMIT:
             log(Event.GOSSIP_BACKLOG, limit=_PENDING_LIMIT)
             return
@@ -177,11 +181,11 @@
             )
 
     def probe(self, member: Member) -> None:
-        """Ask a process how many calls it has under way."""
+        """Ask a process how many calls it has in flight."""
         self._send(member, self._new_gossip(GossipKind.PING))
 
     def announce_revision(self, revision: int) -> None:
-        """Tell some processes at once that a revision is held here."""
+        """Tell some processes at once that this one holds a revision."""
         self.revision = revision
         for member in self._pick_recipients():
             self._send(member, self._new_gossip(GossipKind.UPDATE))
@@ -189,15 +193,18 @@
     def send_held_chunks(
         self, members: list[Member], notice: HeldNotice
     ) -> None:
-        """Tell neighbours which chunks are held here."""
+        """Tell members which chunks this VM holds."""
         gossip = self._new_gossip(GossipKind.HELD_CHUNKS)
         gossip.notices = [notice]
         for member in members:
             self._send(member, gossip)
 
     def unreachable_zones(self, older_than_s: float) -> list[str]:
-        """Give the availability zones not heard from for a while."""
-        here = self.membership.own_record.availability_zone
+        """Return the other availability zones silent for that many seconds.
+
+        A zone counts as heard from when it is first asked about.
+        """
+        own_zone = self.membership.own_record.availability_zone
         now = self._clock.now()
         zones = {
             member.availability_zone
@@ -205,26 +212,26 @@
         }
         return sorted(
             zone
-            for zone in zones - {here}
+            for zone in zones - {own_zone}
             if now - self.zone_heard_at.setdefault(zone, now) > older_than_s
         )
 
     def datagram_received(self, received: bytes, addr: Any) -> None:
-        """Take in one datagram; drop what is not one."""
+        """Handle one datagram; drop it if its seal or its content is bad."""
         self.received_bytes += len(received) + _HEADER_BYTES
-        opened = self._seal.open(received)
-        if opened is None:
+        payload = self._seal.open(received)
+        if payload is None:
             log(Event.DATAGRAM_DROPPED, code='bad-seal', source=str(addr))
             return
         try:
-            gossip = decode(Gossip, opened)
+            gossip = decode(Gossip, payload)
         except CodecError as exc:
             log(Event.DATAGRAM_DROPPED, code=exc.code, source=str(addr))
             return
         self._handle(gossip, (addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore an unreachable peer: silence tells the same."""
+        """Ignore an unreachable peer: missing heartbeats show the same."""
 
     def _handle(self, gossip: Gossip, source: Address) -> None:
         now = self._clock.now()
@@ -238,8 +245,8 @@
             for listener in self._listeners:
                 listener.revision_seen(gossip.revision, source)
         if gossip.load != _NO_LOAD:
-            for hearer in self._listeners:
-                hearer.load_reported(gossip.sender, gossip.load)
+            for listener in self._listeners:
+                listener.load_reported(gossip.sender, gossip.load)
         for notice in gossip.notices:
             for listener in self._listeners:
                 listener.chunks_reported(notice)
@@ -247,18 +254,18 @@
 
     def _respond(self, gossip: Gossip, source: Address) -> None:
         if gossip.kind == GossipKind.PING:
-            answer = self._new_gossip(GossipKind.ACK)
-            answer.load = self.load()
-            self._send_to(source, answer)
+            ack = self._new_gossip(GossipKind.ACK)
+            ack.load = self.load()
+            self._send_to(source, ack)
         elif gossip.kind == GossipKind.SYNC:
             self._handle_sync(gossip, source)
         elif gossip.kind == GossipKind.SYNC_REPLY:
             self._send_differing(gossip, source)
 
     def _handle_sync(self, gossip: Gossip, source: Address) -> None:
-        mine = _DIGESTS.pack(*self.membership.view.buckets)
-        if gossip.digests == mine:
-            # Equal views need no second set of digests.
+        own_digests = _DIGESTS.pack(*self.membership.view.buckets)
+        if gossip.digests == own_digests:
+            # The views are equal, so no records and no digests are needed.
             self._send_to(source, self._new_gossip(GossipKind.ACK))
             return
         self._send_differing(gossip, source)
@@ -266,11 +273,11 @@
 
     def _tick(self) -> None:
         now = self._clock.now()
-        for verdict in self.membership.tick(now):
-            log(Event.MEMBER_DOUBTED, vm=verdict.vm, status=verdict.status)
-            self.disseminate(verdict)
+        for record in self.membership.tick(now):
+            log(Event.MEMBER_DOUBTED, vm=record.vm, status=record.status)
+            self.disseminate(record)
             for listener in self._listeners:
-                listener.member_changed(verdict)
+                listener.member_changed(record)
         for member in self.membership.silent_members(now):
             self._send(member, self._new_gossip(GossipKind.PING))
 
@@ -292,11 +299,14 @@
             self._send_sync((member.host, member.port), GossipKind.SYNC)
 
     def _sync_other_zones(self) -> None:
-        # A peer from the settings joins views that never met or split. The
-        # whole fleet asks as often as a few processes would, or the peers
-        # would carry a load that grows with the fleet.
-        known = len(self.membership.view.members)
-        if self._peers and self._rng.random() < _PEER_SYNCS_PER_ROUND / known:
+        # Syncing with a peer from the settings merges views that never met or
+        # that split. All processes together do it about as often as 4 alone
+        # would; otherwise the load on these peers would grow with the fleet.
+        known_count = len(self.membership.view.members)
+        if (
+            self._peers
+            and self._rng.random() < _PEER_SYNCS_PER_ROUND / known_count
+        ):
             self.sync_with((self._rng.choice(self._peers),))
         for member in sample_members(
             self.membership.view.other_zones(), 1, self._rng
@@ -312,39 +322,40 @@
     def _send_differing(self, gossip: Gossip, source: Address) -> None:
         if len(gossip.digests) != _DIGESTS.size:
             return
-        theirs = _DIGESTS.unpack(gossip.digests)
-        differing = self.membership.view.differing_records(theirs)
+        peer_buckets = _DIGESTS.unpack(gossip.digests)
+        differing = self.membership.view.differing_records(peer_buckets)
         for batch in _batches(differing):
             self._send_to(source, self._new_gossip(GossipKind.UPDATE, batch))
 
     def _send_pending(self) -> None:
         self._flush_timer = None
-        news = list(self._pending.values())
+        records = list(self._pending.values())
         self._pending.clear()
-        audience = self._pick_recipients()
-        for batch in _batches(news):
-            for member in audience:
+        recipients = self._pick_recipients()
+        for batch in _batches(records):
+            for member in recipients:
                 self._send(member, self._new_gossip(GossipKind.UPDATE, batch))
 
     def _pick_recipients(self) -> list[Member]:
         view = self.membership.view
-        mates = view.same_zone()
-        chosen = sample_members(mates, self._cfg.fanout, self._rng)
-        # Each zone passes news on about as often, however many are in it.
-        crossings = self._cfg.fanout / (1 + len(mates))
-        if self._rng.random() < crossings:
-            chosen += _one_of_each_zone(view.other_zones(), self._rng)
-        return chosen
+        own_zone = view.same_zone()
+        recipients = sample_members(own_zone, self._cfg.fanout, self._rng)
+        # A zone sends to other zones at about the same rate, however many
+        # members it has.
+        probability = self._cfg.fanout / (1 + len(own_zone))
+        if self._rng.random() < probability:
+            recipients += _one_of_each_zone(view.other_zones(), self._rng)
+        return recipients
 
     def _new_gossip(
         self,
         kind: GossipKind,
         members: list[Member] | None = None,
     ) -> Gossip:
-        me = self.membership.own_record
+        own_record = self.membership.own_record
         return Gossip(
-            sender=me.vm,
-            incarnation=me.incarnation,
+            sender=own_record.vm,
+            incarnation=own_record.incarnation,
             kind=kind,
             revision=self.revision,
             members=members or [],
@@ -361,10 +372,10 @@
         self._transport.sendto(datagram, address)
 
     async def _run_every(
-        self, period_s: float, act: Callable[[], None]
+        self, period_s: float, action: Callable[[], None]
     ) -> None:
         while True:
-            act()
+            action()
             await asyncio.sleep(period_s * self._rng.uniform(_JITTER_LOW, 1))
 
 
@@ -372,9 +383,9 @@
     return _NO_LOAD
 
 
-def _one_of_each_zone(strangers: list[Member], rng: Random) -> list[Member]:
+def _one_of_each_zone(candidates: list[Member], rng: Random) -> list[Member]:
     zones: dict[str, list[Member]] = {}
-    for member in strangers:
+    for member in candidates:
         zones.setdefault(member.availability_zone, []).append(member)
     return [rng.choice(members) for members in zones.values()]
 
--- a/src/linnetwood/fleet/members.py
+++ b/src/linnetwood/fleet/members.py
@@ -1,4 +1,4 @@
-"""What is known of a process, and which of two statements is newer."""
+"""Member records: their order, copies and hashes."""
 
 import enum
 import hashlib
@@ -9,7 +9,10 @@
 
 
 class Health(enum.IntEnum):
-    """How a process is; of equal statements the higher one wins."""
+    """State of a process; of records equal otherwise the higher state wins.
+
+    Operators see the names in lower case.
+    """
 
     ALIVE = 1
     LEAVING = 2
@@ -24,34 +27,34 @@
 
 
 def precedence(member: Member) -> tuple[int, int, int]:
-    """Give the order of statements about one process."""
+    """Return the key by which records of one process are ordered."""
     return (member.incarnation, member.version, member.status)
 
 
-def supersedes(one: Member, other: Member) -> bool:
-    """Tell whether the first statement replaces the second."""
-    return precedence(one) > precedence(other)
+def supersedes(record: Member, other: Member) -> bool:
+    """Tell whether a record is newer than another of the same process."""
+    return precedence(record) > precedence(other)
 
 
 def copy(member: Member, **changes: object) -> Member:
-    """Give a changed copy of a statement."""
-    parts = {name: getattr(member, name) for name in MEMBER_FIELDS}
-    parts.update(changes)
-    return Member(**parts)
+    """Return a copy of a record with some fields changed."""
+    fields = {name: getattr(member, name) for name in MEMBER_FIELDS}
+    fields.update(changes)
+    return Member(**fields)
 
 
 def hash64(text: str) -> int:
-    """Place text on a ring of 64 bits."""
+    """Return a hash of 64 bits that is the same in every process."""
     digest = hashlib.blake2b(text.encode(), digest_size=HASH_BYTES).digest()
     return int.from_bytes(digest, 'big')
 
 
 def record_hash(member: Member) -> int:
-    """Give the 32 bits by which views are compared."""
+    """Return the 32 bits that a record adds to the hash of its bucket."""
     text = f'{member.vm}|{precedence(member)}'
     return hash64(text) >> _HALF_BITS
 
 
 def accepts_work(member: Member) -> bool:
-    """Tell whether new work may go to the process."""
+    """Tell whether new work may be sent to the process."""
     return member.status in {Health.ALIVE, Health.SUSPECT}
--- a/src/linnetwood/fleet/membership.py
+++ b/src/linnetwood/fleet/membership.py
@@ -1,4 +1,7 @@
-"""Decide who lives: heartbeats on a ring, suspicion, then death."""
+"""Detect failed members by missing heartbeats on a ring.
+
+As in SWIM, a silent member is suspect first and dead later.
+"""
 
 import dataclasses
 from collections.abc import Iterable, Iterator
@@ -23,25 +26,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RingNeighbours:
-    """Whom this process beats to and whom it watches."""
+    """The VMs that this process sends heartbeats to and those it watches."""
 
     heartbeat_to: tuple[str, ...]
     watched: tuple[str, ...]
 
 
 class View:
-    """Hold the newest statement about each process."""
+    """Hold the newest record of each process.
+
+    Records are hashed into buckets, by which two views are compared.
+    """
 
-    def __init__(self, me: Member) -> None:
-        """Start with oneself."""
-        self.own_record = me
+    def __init__(self, own_record: Member) -> None:
+        """Start with the record of this process only."""
+        self.own_record = own_record
         self.members: dict[str, Member] = {}
         self.buckets = [0 for _ in range(BUCKETS)]
         self.refused_count = 0
-        self.update(me)
+        self.update(own_record)
 
     def update(self, member: Member) -> bool:
-        """Take a statement in if it is newer than the one held."""
+        """Take in a record if it is newer than the one held; tell whether."""
         held = self.members.get(member.vm)
         if held is not None and not supersedes(member, held):
             return False
@@ -56,13 +62,13 @@
         return True
 
     def remove(self, vm: str) -> None:
-        """Drop a process for good."""
+        """Drop the record of a process."""
         held = self.members.pop(vm, None)
         if held is not None:
             self.buckets[bucket_of(vm)] ^= record_hash(held)
 
     def same_zone(self) -> list[Member]:
-        """Give the other processes of this availability zone not held dead."""
+        """Return the other members of this availability zone, but the dead."""
         return [
             member
             for member in self.members.values()
@@ -72,7 +78,7 @@
         ]
 
     def other_zones(self) -> list[Member]:
-        """Give the processes of other availability zones not held dead."""
+        """Return the members of other availability zones, but the dead."""
         return [
             member
             for member in self.members.values()
@@ -80,29 +86,34 @@
             and member.status != Health.DEAD
         ]
 
-    def differing_records(self, theirs: Iterable[int]) -> Iterator[Member]:
-        """Yield the statements of each bucket that differs from theirs."""
-        wrong = {
+    def differing_records(
+        self, peer_buckets: Iterable[int]
+    ) -> Iterator[Member]:
+        """Yield the records in each bucket whose hash differs from a peer's."""
+        differing = {
             bucket
-            for bucket, digest in enumerate(theirs)
-            if digest != self.buckets[bucket]
+            for bucket, bucket_hash in enumerate(peer_buckets)
+            if bucket_hash != self.buckets[bucket]
         }
         for member in self.members.values():
-            if bucket_of(member.vm) in wrong:
+            if bucket_of(member.vm) in differing:
                 yield member
 
 
 def bucket_of(vm: str) -> int:
-    """Give the bucket in which a process is compared."""
+    """Return the bucket that the record of a VM belongs to."""
     return hash64(vm) % BUCKETS
 
 
 class Membership:
-    """Turn heartbeats and statements into a view; no I/O inside."""
+    """Turn heartbeats and member records into a view; does no I/O.
+
+    Times are in seconds of one monotonic clock.
+    """
 
-    def __init__(self, me: Member, cfg: Gossiping, now: float) -> None:
-        """Start alone."""
-        self.view = View(me)
+    def __init__(self, own_record: Member, cfg: Gossiping, now: float) -> None:
+        """Start with this process as the only member."""
+        self.view = View(own_record)
         self._cfg = cfg
         self._heard_at: dict[str, float] = {}
         self._failed_at: dict[str, float] = {}
@@ -112,11 +123,11 @@
 
     @property
     def own_record(self) -> Member:
-        """Give the statement this process makes of itself."""
+        """Return the record of this process."""
         return self.view.own_record
 
     def update_self(self, **changes: object) -> Member:
-        """Change what this process says of itself."""
+        """Change fields of the record of this process; return the new one."""
         self.view.own_record = copy(
             self.view.own_record,
             version=self.view.own_record.version + 1,
@@ -126,7 +137,7 @@
         return self.view.own_record
 
     def receive(self, member: Member, now: float) -> Member | None:
-        """Take in a statement; give what must be passed on, if anything."""
+        """Take in a record; return the one to disseminate, if any."""
         if member.vm == self.own_record.vm:
             return self._refute(member)
         if not self.view.update(member):
@@ -139,13 +150,13 @@
         return member
 
     def heartbeat_received(self, vm: str, now: float) -> None:
-        """Note a sign of life."""
-        watched = vm in self._heard_at
-        if watched:
+        """Note that a VM was heard from."""
+        is_watched = vm in self._heard_at
+        if is_watched:
             self._heard_at[vm] = now
 
     def ring_neighbours(self, now: float) -> RingNeighbours:
-        """Give whom to beat to and whom to watch."""
+        """Return whom to send heartbeats to and whom to watch."""
         if self._neighbours_stale:
             self._neighbours = self._find_ring_neighbours()
             self._neighbours_stale = False
@@ -156,22 +167,22 @@
         return self._neighbours
 
     def tick(self, now: float) -> Iterator[Member]:
-        """Yield new suspicions and deaths that follow from silence."""
-        gap = now - self._last_tick
+        """Yield the new records of members that became suspect or dead."""
+        gap_s = now - self._last_tick
         self._last_tick = now
-        if gap > self._cfg.heartbeat_s * _PAUSE_HEARTBEATS:
-            self._shift_heard_times(gap)
+        if gap_s > self._cfg.heartbeat_s * _PAUSE_HEARTBEATS:
+            self._shift_heard_times(gap_s)
         for vm in self.ring_neighbours(now).watched:
             yield from self._check_silence(vm, now)
         self._remove_long_failed(now)
 
     def silent_members(self, now: float) -> list[Member]:
-        """Give the watched processes that should be asked at once."""
-        limit = self._cfg.suspect_after_s / 2
+        """Return the watched members to ping, before they become suspect."""
+        limit_s = self._cfg.suspect_after_s / 2
         return [
             self.view.members[vm]
-            for vm, heard in self._heard_at.items()
-            if now - heard > limit and vm in self.view.members
+            for vm, heard_at in self._heard_at.items()
+            if now - heard_at > limit_s and vm in self.view.members
         ]
 
     def _refute(self, member: Member) -> Member | None:
@@ -180,54 +191,54 @@
         if member.incarnation > self.own_record.incarnation:
             return None
         if member.status == Health.LEAVING:
-            # Others may tell a process to leave, and it says so itself.
+            # Others may tell a process to leave; it then says so itself.
             return self.update_self(status=member.status)
         self.view.own_record = copy(self.own_record, version=member.version + 1)
         self.view.update(self.view.own_record)
         return self.view.own_record
 
     def _find_ring_neighbours(self) -> RingNeighbours:
-        mates = self.view.same_zone()
+        same_zone = self.view.same_zone()
         ring = sorted(
-            [member.vm for member in mates] + [self.own_record.vm],
+            [member.vm for member in same_zone] + [self.own_record.vm],
             key=hash64,
         )
-        here = ring.index(self.own_record.vm)
+        own_index = ring.index(self.own_record.vm)
         reach = min(self._cfg.monitors, len(ring) - 1)
         after = [
-            ring[(here + step) % len(ring)] for step in range(1, reach + 1)
+            ring[(own_index + step) % len(ring)] for step in range(1, reach + 1)
         ]
         before = [
-            ring[(here - step) % len(ring)] for step in range(1, reach + 1)
+            ring[(own_index - step) % len(ring)] for step in range(1, reach + 1)
         ]
         return RingNeighbours(tuple(after), tuple(before))
 
-    def _shift_heard_times(self, gap: float) -> None:
-        # This process itself was paused, so the silence proves nothing.
+    def _shift_heard_times(self, gap_s: float) -> None:
+        # This process was paused itself, so the silence proves nothing.
         self._heard_at = {
-            vm: heard + gap for vm, heard in self._heard_at.items()
+            vm: heard_at + gap_s for vm, heard_at in self._heard_at.items()
         }
 
     def _check_silence(self, vm: str, now: float) -> Iterator[Member]:
         member = self.view.members[vm]
-        silence = now - self._heard_at.get(vm, now)
+        silent_s = now - self._heard_at.get(vm, now)
         status = member.status
-        if silence > self._cfg.dead_after_s:
+        if silent_s > self._cfg.dead_after_s:
             status = Health.DEAD
-        elif silence > self._cfg.suspect_after_s:
+        elif silent_s > self._cfg.suspect_after_s:
             status = max(member.status, Health.SUSPECT)
         if status != member.status:
-            verdict = self.receive(copy(member, status=status), now)
-            if verdict is not None:
-                yield verdict
+            record = self.receive(copy(member, status=status), now)
+            if record is not None:
+                yield record
 
     def _remove_long_failed(self, now: float) -> None:
-        old = [
+        expired = [
             vm
-            for vm, died in self._failed_at.items()
-            if now - died > FAILED_KEPT_S
+            for vm, failed_at in self._failed_at.items()
+            if now - failed_at > FAILED_KEPT_S
         ]
-        for vm in old:
+        for vm in expired:
             self._failed_at.pop(vm)
             self.view.remove(vm)
 
@@ -235,5 +246,5 @@
 def sample_members(
     members: list[Member], count: int, rng: Random
 ) -> list[Member]:
-    """Choose some processes at random."""
+    """Return up to `count` members chosen at random."""
     return rng.sample(members, min(count, len(members)))
--- a/src/linnetwood/fleet/runtime.py
+++ b/src/linnetwood/fleet/runtime.py
@@ -1,4 +1,7 @@
-"""What every daemon has: membership, configuration, connections, signals."""
+"""The parts that every daemon has.
+
+These are membership, configuration, connections, metrics and signal handlers.
+"""
 
 import asyncio
 import signal
@@ -33,7 +36,7 @@
 
 
 class Runtime:
-    """Own the parts that entries and endpoints share."""
+    """Own the parts that entries and endpoints have in common."""
 
     def __init__(
         self,
@@ -45,7 +48,7 @@
         client: AsyncHTTPClient,
         keys: Keys,
     ) -> None:
-        """Put the parts together; start nothing."""
+        """Build the parts; `start` begins their work."""
         self.clock: Clock = SystemClock()
         self.rng = Random(f'{place.vm}|{member.incarnation}')
         self.client = client
@@ -92,10 +95,13 @@
         peers: tuple[str, ...],
         handlers: dict[int, FrameHandler],
     ) -> None:
-        """Listen, join the others and learn the configuration."""
+        """Serve frames, join the fleet and follow the configuration.
+
+        Peers are addresses of other processes; handlers are by frame kind.
+        """
         served = {FrameKind.CONFIG_REQUEST: self._serve_config, **handlers}
         self._server = WireServer(served)
-        # Binding the one port of the slot keeps a second process out of it.
+        # The slot has one port, so binding it keeps out a second process.
         await self._server.start(
             bind_sockets(self._place.wire_port, self._place.host),
             self.keys.server,
@@ -106,7 +112,7 @@
             self._vm_list.start()
 
     async def close(self) -> None:
-        """Leave and release everything."""
+        """Stop all parts and close their connections."""
         if self._vm_list is not None:
             await self._vm_list.close()
         await self.config.close()
@@ -118,7 +124,7 @@
         self.traces.close()
 
     def leave(self) -> None:
-        """Say that this process takes no new work."""
+        """Announce that this process accepts no new work."""
         self.gossip.update_self(status=int(Health.LEAVING))
 
     async def _serve_config(self, stream: FrameStream, frame: Frame) -> None:
@@ -128,7 +134,7 @@
 
 
 def initial_record(place: Place, role: str, clock: Clock) -> Member:
-    """Give the first statement that a process makes of itself."""
+    """Return the first record of this process."""
     return Member(
         vm=place.vm,
         incarnation=int(clock.wall() * _MILLISECONDS),
@@ -144,7 +150,7 @@
 
 
 async def wait_for_stop(keys: Keys) -> None:
-    """Wait for a signal to stop; read the keys again on SIGHUP."""
+    """Wait for SIGTERM or SIGINT; reload the keys on each SIGHUP."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGHUP, reload_keys, keys)
@@ -154,7 +160,7 @@
 
 
 def reload_keys(keys: Keys) -> None:
-    """Read the keys again, and go on with the old ones if they are no good."""
+    """Reload the keys; keep the old ones if the new ones are not usable."""
     try:
         keys.reload()
     except SettingsError as exc:
--- a/src/linnetwood/fleet/vmlist.py
+++ b/src/linnetwood/fleet/vmlist.py
@@ -1,4 +1,4 @@
-"""Follow the platform's lagging list of live and leaving VMs."""
+"""Poll the platform's list of VMs, which lags behind, for leaving ones."""
 
 import asyncio
 import json
@@ -25,22 +25,22 @@
 
 
 class VmList(Protocol):
-    """Read the platform's list."""
+    """The platform's list of VMs."""
 
     async def leaving(self) -> frozenset[str]:
-        """Give the VMs that are listed as leaving; raise StoreError."""
+        """Return the VMs listed as leaving; raise StoreError on failure."""
 
 
 class HttpVmList:
-    """Read the list over HTTP: a JSON array of objects with vm and state."""
+    """The list over HTTP: a JSON array of objects with vm and state."""
 
     def __init__(self, url: str, client: AsyncHTTPClient) -> None:
-        """Reach the list at a URL."""
+        """Read the list from a URL."""
         self._url = url
         self._client = client
 
     async def leaving(self) -> frozenset[str]:
-        """Read the list."""
+        """Return the VMs listed as leaving."""
         req = HTTPRequest(self._url, request_timeout=_TIMEOUT_S)
         reply = await fetch(self._client, req)
         if reply.code != _OK:
@@ -58,11 +58,11 @@
     members: dict[str, Member],
     listed: frozenset[str],
 ) -> Iterator[Member]:
-    """Yield the statements that the list adds to what is known.
+    """Yield a leaving record for each alive member that the list names.
 
-    The list lags, so it may still name a VM whose process has started anew
-    since; only the incarnation that is known now is told, and the process
-    itself decides nothing less than to leave.
+    The list lags, so it may still name a VM whose process has restarted
+    since. A record therefore names the incarnation that is known now, and
+    the process confirms by announcing itself that it leaves.
     """
     for vm in sorted(listed):
         member = members.get(vm)
@@ -71,20 +71,20 @@
 
 
 class VmListTask(Owner):
-    """Ask the list, if this process is one of the few that watch."""
+    """Poll the list while this process is one of the few watchers."""
 
     def __init__(
         self,
         vm_list: VmList,
         gossip: GossipTask,
-        falls_to_me: 'IsWatcher',
+        is_watcher: 'IsWatcher',
         rng: Random,
     ) -> None:
-        """Start nothing yet."""
+        """Prepare the task; `start` begins to poll."""
         super().__init__()
         self._vm_list = vm_list
         self._gossip = gossip
-        self._is_watcher = falls_to_me
+        self._is_watcher = is_watcher
         self._rng = rng
 
     async def _run(self) -> None:
@@ -104,12 +104,12 @@
             self._mark_leaving(listed)
 
     def _mark_leaving(self, listed: frozenset[str]) -> None:
-        for statement in leaving_records(self._gossip.members, listed):
-            self._gossip.receive_record(statement)
+        for record in leaving_records(self._gossip.members, listed):
+            self._gossip.receive_record(record)
 
 
 class IsWatcher(Protocol):
-    """Tell whether this process is one of those that ask the platform."""
+    """Tell whether this process is one of those that poll the platform."""
 
     def __call__(self) -> bool:
-        """Say so."""
+        """Return true while it is."""
