--- a/src/linnetwood/fleet/hosts.py
+++ b/src/linnetwood/fleet/hosts.py
@@ -1,4 +1,4 @@
-"""Lists of hosts as they are sent: four bytes for each IPv4 address."""
+"""Pack lists of IPv4 addresses into 4 bytes per address, as they are sent."""
 
 import socket
 from collections.abc import Iterable, Iterator
@@ -6,12 +6,12 @@
 _BYTES = 4
 
 
-def pack(hosts: Iterable[str]) -> bytes:
-    """Put addresses behind each other; raise OSError for what is none."""
-    return b''.join(socket.inet_aton(host) for host in hosts)
+def pack(addresses: Iterable[str]) -> bytes:
+    """Concatenate addresses; raise OSError for a bad address."""
+    return b''.join(socket.inet_aton(host) for host in addresses)
 
 
 def unpack(packed: bytes) -> Iterator[str]:
-    """Yield the addresses; bytes left over at the end are no address."""
+    """Yield the addresses; ignore leftover bytes at the end."""
     for start in range(0, len(packed) - _BYTES + 1, _BYTES):
         yield socket.inet_ntoa(packed[start : start + _BYTES])
--- a/src/linnetwood/fleet/placement.py
+++ b/src/linnetwood/fleet/placement.py
@@ -1,4 +1,4 @@
-"""Decide which VMs should hold which version."""
+"""Decide which VMs should hold which model version."""
 
 from collections.abc import Iterable
 
@@ -11,7 +11,7 @@
 
 
 def version_label(model: str, version: str) -> str:
-    """Name a version of a model in one word."""
+    """Return the name of a model version as members announce it."""
     return f'{model}{LABEL_SEPARATOR}{version}'
 
 
@@ -20,23 +20,23 @@
     members: Iterable[Member],
     intent: Intent,
 ) -> list[str]:
-    """Give the VMs that an intent would have, were those held dead alive.
+    """Return the VMs that an intent would have if no member had failed.
 
-    Neighbours are counted off among these, so that a death does not give
-    every VM other neighbours; the dead themselves are left out afterwards.
+    Neighbours are counted off among these, so that one failure does not give
+    every VM other neighbours. The caller leaves out the failed VMs later.
     """
-    raised = [
+    revived = [
         copy(member, status=int(Health.ALIVE))
         if member.status == Health.DEAD
         else member
         for member in members
     ]
-    chosen = assign_intents(deployment, raised)
-    return [vm for vm, one in chosen.items() if one is intent]
+    chosen = assign_intents(deployment, revived)
+    return [vm for vm, assigned in chosen.items() if assigned is intent]
 
 
 def engine_members(members: Iterable[Member]) -> list[Member]:
-    """Give the engine endpoints that may take weights."""
+    """Return the engine endpoints that weights may be brought to."""
     return [
         member
         for member in members
@@ -49,15 +49,18 @@
 def assign_intents(
     deployment: Deployment, members: Iterable[Member]
 ) -> dict[str, Intent]:
-    """Give the intent that each engine VM should carry out.
+    """Return the intent that each engine VM should carry out, by VM.
 
-    Intents choose in the order of their names. Each takes VMs zone by zone in
-    turn, first those that serve its model already, then by rendezvous hash, so
-    that two processes with nearly the same view choose nearly the same VMs.
+    Intents choose in the order of their models' names. Each takes one VM from
+    each zone in turn: first those that serve its model already, then by
+    rendezvous hash. Two processes with nearly the same view therefore choose
+    nearly the same VMs.
     """
     free = {member.vm: member for member in engine_members(members)}
     chosen: dict[str, Intent] = {}
-    for intent in sorted(deployment.intents, key=lambda one: one.model):
+    for intent in sorted(
+        deployment.intents, key=lambda candidate: candidate.model
+    ):
         for vm in _choose_vms(intent, list(free.values())):
             free.pop(vm)
             chosen[vm] = intent
@@ -95,7 +98,7 @@
 
 
 def _rack_order(member: Member) -> int:
-    # A hash of the rack and VM spreads the choice over racks.
+    # A hash of rack and VM spreads the choice over racks.
     return hash64(f'{member.rack}|{member.vm}') % 2
 
 
@@ -106,8 +109,8 @@
 ) -> bool:
     """Tell whether this VM may take its engine out of service to load now.
 
-    No more than the intent's spare replicas may be loading among those that
-    serve the model; lower hashes go first.
+    Of the VMs that serve the model, only as many as the intent has spare
+    replicas may load at a time; the lowest hashes are first.
     """
     wanted = version_label(intent.model, intent.version)
     waiting = [
@@ -116,8 +119,8 @@
         if _waits_to_load(member, intent.model, wanted)
     ]
     waiting.sort(key=lambda vm: hash64(f'load|{wanted}|{vm}'))
-    turn = max(1, intent.spare_replicas)
-    return me in waiting[:turn]
+    at_once = max(1, intent.spare_replicas)
+    return me in waiting[:at_once]
 
 
 def _waits_to_load(member: Member, model: str, wanted: str) -> bool:
--- a/src/linnetwood/fleet/progress.py
+++ b/src/linnetwood/fleet/progress.py
@@ -1,4 +1,4 @@
-"""Work out how a rollout gets on and whether the burst is at risk."""
+"""Estimate the progress of rollouts and whether they meet their deadline."""
 
 import dataclasses
 from collections import deque
@@ -16,14 +16,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instant:
-    """One moment on both clocks, in seconds."""
+    """One moment, in seconds, on the monotonic clock and on the wall clock."""
 
     now: float
     wall: float
 
 
 class RolloutProgress:
-    """Keep a few samples of each rollout and draw the line through them."""
+    """Keep the last samples of each rollout and compute its rate from them."""
 
     def __init__(self) -> None:
         """Start without samples."""
@@ -36,16 +36,18 @@
         sampled: Mapping[str, float],
         at: Instant,
     ) -> Iterator[RolloutStatus]:
-        """Yield the state of each intent.
+        """Yield the status of each intent.
 
-        What a few VMs said of their transfers, as fractions by VM, stands for
-        all that are not complete.
+        The sampled fractions (0 to 1, by VM) are taken as typical of all VMs
+        whose transfer is not complete.
         """
         chosen = assign_intents(deployment, members)
         by_name = {member.vm: member for member in members}
         for intent in deployment.intents:
             assigned = [
-                by_name[vm] for vm, one in chosen.items() if one is intent
+                by_name[vm]
+                for vm, assigned_intent in chosen.items()
+                if assigned_intent is intent
             ]
             yield self._status(intent, assigned, sampled, at)
 
@@ -91,7 +93,7 @@
 
 
 def incomplete_members(intent: Intent, assigned: list[Member]) -> list[Member]:
-    """Give the assigned VMs that do not hold the whole version yet."""
+    """Return the assigned members that do not hold the whole version yet."""
     wanted = version_label(intent.model, intent.version)
     return [
         member
@@ -108,7 +110,7 @@
     if not intent.replicas:
         return 1
     open_vms = incomplete_members(intent, assigned)
-    known = [sampled[one.vm] for one in open_vms if one.vm in sampled]
+    known = [sampled[member.vm] for member in open_vms if member.vm in sampled]
     mean = sum(known) / len(known) if known else 0
     held = len(assigned) - len(open_vms) + mean * len(open_vms)
     return min(1, held / intent.replicas)
--- a/src/linnetwood/fleet/sampling.py
+++ b/src/linnetwood/fleet/sampling.py
@@ -1,7 +1,7 @@
-"""Ask a few VMs how far their transfers are, only when somebody wants to know.
+"""Sample the transfer progress of a few VMs when a status is requested.
 
-Were each VM to tell its progress to all, a rollout to 2,300 VMs would fill the
-control budget of every process several times over.
+If each VM sent its progress to all, a rollout to 2,300 VMs would exceed the
+budget for control traffic of every process several times over.
 """
 
 import asyncio
@@ -21,10 +21,10 @@
 
 
 class ProgressSampler:
-    """Ask VMs at random over connections of their own."""
+    """Ask VMs chosen at random, each over a new connection."""
 
     def __init__(self, dialler: Dialler, rng: Random) -> None:
-        """Hold nothing between samples."""
+        """Use a dialler for the connections; no state is kept."""
         self._dialler = dialler
         self._rng = rng
 
@@ -33,16 +33,19 @@
         deployment: Deployment,
         members: list[Member],
     ) -> dict[str, float]:
-        """Give the fraction held by some VMs of each open rollout."""
+        """Return the fraction held (0 to 1) by some VMs of each open rollout.
+
+        A VM that does not answer in time counts as holding nothing.
+        """
         by_name = {member.vm: member for member in members}
-        asked = self._choose_vms(deployment, members)
-        found = await asyncio.gather(
+        wanted_by_vm = self._choose_vms(deployment, members)
+        fractions = await asyncio.gather(
             *(
                 self._fraction_held(by_name[vm], wanted)
-                for vm, wanted in asked.items()
+                for vm, wanted in wanted_by_vm.items()
             ),
         )
-        return dict(zip(asked, found, strict=True))
+        return dict(zip(wanted_by_vm, fractions, strict=True))
 
     def _choose_vms(
         self,
@@ -50,14 +53,20 @@
         members: list[Member],
     ) -> dict[str, str]:
         chosen = assign_intents(deployment, members)
-        asked: dict[str, str] = {}
+        wanted_by_vm: dict[str, str] = {}
         for intent in deployment.intents:
-            assigned = [one for one in members if chosen.get(one.vm) is intent]
-            open_vms = [one.vm for one in incomplete_members(intent, assigned)]
-            few = self._rng.sample(open_vms, min(_SAMPLED_VMS, len(open_vms)))
+            assigned = [
+                member for member in members if chosen.get(member.vm) is intent
+            ]
+            open_vms = [
+                member.vm for member in incomplete_members(intent, assigned)
+            ]
+            sampled = self._rng.sample(
+                open_vms, min(_SAMPLED_VMS, len(open_vms))
+            )
             wanted = version_label(intent.model, intent.version)
-            asked.update(dict.fromkeys(few, wanted))
-        return asked
+            wanted_by_vm.update(dict.fromkeys(sampled, wanted))
+        return wanted_by_vm
 
     async def _fraction_held(self, member: Member, wanted: str) -> float:
         try:
--- a/src/linnetwood/fleet/schema.py
+++ b/src/linnetwood/fleet/schema.py
@@ -1,4 +1,4 @@
-"""Load a schema file: all of it is right, or nothing of it takes effect."""
+"""Load a schema file; a file with any error is refused as a whole."""
 
 import pathlib
 from types import MappingProxyType
@@ -40,7 +40,7 @@
 
 
 def load(path: str) -> Deployment:
-    """Read a deployment; raise SchemaError naming file, line and field."""
+    """Read a deployment; raise SchemaError with file, line and field."""
     try:
         text = pathlib.Path(path).read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as exc:
@@ -48,10 +48,10 @@
     tree = ConstantParser(text, path).parse_constant(DEPLOYMENT_TYPE)
     deployment: Deployment = _Builder(path).struct(Deployment, tree, '')
     _check_grammar(path)
-    faults = list(configuration.validation_errors(deployment))
-    if faults:
+    errors = list(configuration.validation_errors(deployment))
+    if errors:
         raise SchemaError(
-            'schema-contradiction', f'{path}: {"; ".join(faults)}'
+            'schema-contradiction', f'{path}: {"; ".join(errors)}'
         )
     return deployment
 
@@ -64,7 +64,7 @@
 
 
 class _Builder:
-    """Turn a tree into generated structs, refusing what does not fit."""
+    """Build generated structs from a tree; raise SchemaError on a mismatch."""
 
     def __init__(self, path: str) -> None:
         self._path = path
@@ -111,8 +111,8 @@
         if tree.kind != '[':
             raise self._field_error(tree, field, 'a list')
         return [
-            self._typed((extra[0], '', extra[1]), child, f'{field}[{place}]')
-            for place, child in enumerate(tree.trees)
+            self._typed((extra[0], '', extra[1]), child, f'{field}[{index}]')
+            for index, child in enumerate(tree.trees)
         ]
 
     def _enum(self, kind: Any, tree: ValueTree, field: str) -> int:
--- a/src/linnetwood/fleet/tokens.py
+++ b/src/linnetwood/fleet/tokens.py
@@ -1,4 +1,4 @@
-"""Read the constant of a schema file as a tree that knows its lines."""
+"""Parse the constant of a schema file into a tree with line numbers."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -28,34 +28,37 @@
     pairs: tuple[tuple['ValueTree', 'ValueTree'], ...] = ()
 
     def describe(self) -> str:
-        """Show what was found."""
+        """Return the value as error messages show it."""
         if self.kind == '{':
             return 'a map'
         return 'a list' if self.kind == '[' else repr(self.scalar)
 
 
 class ConstantParser:
-    """Step through a file's tokens."""
+    """Parse one constant from the tokens of a file."""
 
     def __init__(self, text: str, path: str) -> None:
-        """Cut the text into tokens, or raise SchemaError."""
+        """Split the text into tokens; raise SchemaError if it has bad ones."""
         self._path = path
         self._tokens = list(_tokenize(text, path))
         self._position = 0
 
     def parse_constant(self, type_name: str) -> ValueTree:
-        """Give the value of the one constant of a type."""
-        for place, token in enumerate(self._tokens):
-            if token.type == 'CONST' and self._declares(place, type_name):
-                self._position = place + 4
+        """Return the value of the first constant of a type.
+
+        Raises SchemaError if there is none or its syntax is wrong.
+        """
+        for index, token in enumerate(self._tokens):
+            if token.type == 'CONST' and self._declares(index, type_name):
+                self._position = index + 4
                 return self._tree()
         raise SchemaError(
             'schema-no-deployment',
             f'{self._path}: found no constant of type {type_name}',
         )
 
-    def _declares(self, place: int, type_name: str) -> bool:
-        following = self._tokens[place + 1 : place + 4]
+    def _declares(self, index: int, type_name: str) -> bool:
+        following = self._tokens[index + 1 : index + 4]
         return (
             len(following) == 3
             and following[0].value == type_name
