--- a/src/linnetwood/fleet/news.py
+++ b/src/linnetwood/fleet/news.py
@@ -1,4 +1,4 @@
-"""Datagrams between the processes on the users' platform."""
+"""Send and receive datagrams between processes on the users' platform."""
 
 import asyncio
 import socket
@@ -12,29 +12,30 @@
 
 Address = tuple[str, int]
 
-# A line on what was said and heard is logged this often: 0.1% of the datagrams.
+# Counts of datagrams are logged this often. The log lines are then 0.1% as many
+# as the datagrams.
 COUNTS_LOGGED_EVERY_S = 10.0
 
 
 class NewsHandler(Protocol):
-    """Take in what others send."""
+    """Handle what other processes send."""
 
     def handle_news(self, news: News, source: Address) -> None:
-        """Take in one datagram."""
+        """Handle one datagram from an address."""
 
 
 class NewsSocket(asyncio.DatagramProtocol):
     """Own the UDP socket of a process."""
 
-    def __init__(self, reader: NewsHandler) -> None:
-        """Hand what comes in to the reader."""
-        self._handler = reader
+    def __init__(self, handler: NewsHandler) -> None:
+        """Pass what is received to a handler; `start` opens the socket."""
+        self._handler = handler
         self._counters = TrafficCounters()
         self._log_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Bind the socket and begin to count datagrams."""
         loop = asyncio.get_running_loop()
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)  # noqa: WPS425
@@ -45,18 +46,18 @@
         )
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop logging counts and close the socket."""
         if self._log_timer is not None:
             self._log_timer.cancel()
         if self._transport is not None:
             self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the way to send."""
+        """Keep the transport for sending."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, payload: bytes, addr: Address) -> None:
-        """Decode and hand on; bytes that are no message are dropped."""
+        """Decode a datagram and pass it on; drop it if it is no message."""
         try:
             news = codec.decode(News, payload)
         except CodecError as exc:
@@ -67,7 +68,7 @@
         self._handler.handle_news(news, addr)
 
     def error_received(self, exc: Exception) -> None:
-        """Go on: a process that is away is met again later."""
+        """Ignore the error: an unreachable process is tried again later."""
 
     def send(self, news: News, addresses: list[Address]) -> None:
         """Send one message to several processes."""
@@ -80,13 +81,13 @@
             transport.sendto(payload, address)
 
     def _log_counts(self) -> None:
-        for direction, kind, flow in self._counters.take_counts():
+        for direction, kind, count in self._counters.take_counts():
             log(
                 Event.TALK_COUNTED,
                 direction=direction,
                 kind=kind,
-                datagrams=flow.datagrams,
-                bytes=flow.byte_count,
+                datagrams=count.datagrams,
+                bytes=count.byte_count,
                 span_s=COUNTS_LOGGED_EVERY_S,
             )
         loop = asyncio.get_running_loop()
--- a/src/linnetwood/fleet/peerlist.py
+++ b/src/linnetwood/fleet/peerlist.py
@@ -1,9 +1,10 @@
-"""Which processes stand beside engines: told once, and when it has changed.
+"""Send endpoint processes the list of their peers when it has changed.
 
-Entries know the list from the platform's store. A greeting names its digest and
-the store's revision as of which it stands; a process that knows another list
-asks for this one. With the list inside each greeting, greetings took a third of
-an endpoint VM's link where 98 entries stand before 60 engines.
+Entries know the list of processes beside engines from the platform's store.
+Their datagrams name only the list's digest and the revision of the store it
+was read at; a process that holds another list requests this one. With the
+whole list in each datagram, 98 entries before 60 engines took a third of an
+endpoint VM's link.
 """
 
 import asyncio
@@ -18,88 +19,91 @@
 from linnetwood.wire.connections import SILENT_S, Address, Dialler
 from linnetwood.wire.frames import MAX_FRAME, Frame, FrameKind, FrameStream
 
-# Entries' lists differ for a moment while the fleet changes, and one answer
-# soon serves for many changes.
+# Pause after each request. The lists of entries differ for a moment while the
+# fleet changes, and a later answer covers several changes at once.
 _PAUSE_S = 0.3
-# So many bits tell two lists apart, and are short to send.
+# 32 bits are short to send and enough to tell two lists apart.
 _DIGEST_BITS = 32
 _HASH_BITS = 64
-# Those of a few services, and the ones before: a greeting may be under way.
+# The lists of a few services, and earlier ones: a datagram that names an
+# earlier list may still be in flight.
 _LISTS_KEPT = 16
 
 ZonesByHost = Mapping[str, str]
 
 
-def list_digest(places: ZonesByHost) -> int:
-    """Give a number that differs where two lists of zones by host do."""
-    rows = (f'{host}={zone}' for host, zone in sorted(places.items()))
+def list_digest(zones_by_host: ZonesByHost) -> int:
+    """Return a number of 32 bits that differs if two lists differ."""
+    rows = (f'{host}={zone}' for host, zone in sorted(zones_by_host.items()))
     return hash64(','.join(rows)) >> (_HASH_BITS - _DIGEST_BITS)
 
 
 class PeerListServer:
-    """Tell the lists of an entry to whoever asks for one."""
+    """Serve the lists of an entry by their digests."""
 
     __slots__ = ('_packed',)
 
     def __init__(self) -> None:
-        """Know none."""
+        """Start without any list."""
         self._packed: dict[int, bytes] = {}
 
-    def update(self, places: ZonesByHost, revision: int) -> int:
-        """Tell this list, too, as of a revision of the store; give its digest.
+    def update(self, zones_by_host: ZonesByHost, revision: int) -> int:
+        """Serve a list read at a revision of the store; return its digest.
 
-        The oldest is forgotten: whoever asks for it hears of another soon.
+        The oldest list is dropped: whoever requests it soon learns of another.
         """
-        told = list_digest(places)
-        rows = [PeerPlace(*place) for place in sorted(places.items())]
+        digest = list_digest(zones_by_host)
+        rows = [PeerPlace(*peer) for peer in sorted(zones_by_host.items())]
         encoded = encode(PeerList(revision=revision, peers=rows))
-        self._packed.pop(told, None)
-        self._packed[told] = zlib.compress(encoded)
+        self._packed.pop(digest, None)
+        self._packed[digest] = zlib.compress(encoded)
         while len(self._packed) > _LISTS_KEPT:
             self._packed.pop(next(iter(self._packed)))
-        return told
+        return digest
 
     async def serve(self, stream: FrameStream, frame: Frame) -> None:
-        """Answer one request; with nothing where the list is not known."""
-        asked = decode(PeersRequest, frame.payload).digest
-        packed = self._packed.get(asked, b'')
+        """Answer one request; with no bytes if the list is not known."""
+        digest = decode(PeersRequest, frame.payload).digest
+        packed = self._packed.get(digest, b'')
         await stream.write(FrameKind.PEERS, packed)
 
 
 class PeerListClient:
-    """Hold the newest list that an entry told; its task owns the connection."""
+    """Hold the newest list of the entries; request it when it changes."""
 
     def __init__(
         self,
         dialler: Dialler,
-        taken: Callable[[dict[str, str]], None],
+        on_list: Callable[[dict[str, str]], None],
     ) -> None:
-        """Know nothing; hand each newer list on as zones by host."""
+        """Start without a list; call `on_list` with each newer one."""
         self.is_known = False
         self._dialler = dialler
-        self._on_list = taken
+        self._on_list = on_list
         self._digest = 0
         self._revision = -1
         self._fetch_task: asyncio.Task[None] | None = None
 
     async def close(self) -> None:
-        """Ask no more."""
+        """Cancel the request in flight, if any."""
         if self._fetch_task is not None:
             self._fetch_task.cancel()
             await asyncio.gather(self._fetch_task, return_exceptions=True)
 
-    def digest_received(self, told: int, revision: int, entry: Address) -> None:
-        """Ask an entry for its list, if that is another and no older one."""
-        if self.is_known and told == self._digest:
+    def digest_received(
+        self, digest: int, revision: int, entry: Address
+    ) -> None:
+        """Request an entry's list if it differs and is not older."""
+        if self.is_known and digest == self._digest:
             self._revision = max(self._revision, revision)
             return
         if revision < self._revision or self._fetch_task is not None:
             return
-        self._fetch_task = asyncio.create_task(self._fetch(entry, told))
+        self._fetch_task = asyncio.create_task(self._fetch(entry, digest))
 
-    async def _fetch(self, entry: Address, told: int) -> None:
+    async def _fetch(self, entry: Address, digest: int) -> None:
         try:
-            self._apply(await self._request_list(entry, told), entry)
+            self._apply(await self._request_list(entry, digest), entry)
         except LinnetwoodError as exc:
             log(
                 Event.PEERS_UNHEARD,
@@ -110,8 +114,8 @@
         await asyncio.sleep(_PAUSE_S)
         self._fetch_task = None
 
-    async def _request_list(self, entry: Address, told: int) -> PeerList:
-        request = encode(PeersRequest(digest=told))
+    async def _request_list(self, entry: Address, digest: int) -> PeerList:
+        request = encode(PeersRequest(digest=digest))
         stream = await self._dialler.dial(entry)
         try:
             await stream.write(FrameKind.PEERS_REQUEST, request)
@@ -122,20 +126,20 @@
             raise CodecError('unexpected-frame', frame.kind.name)
         return _unpacked(frame.payload)
 
-    def _apply(self, told: PeerList, entry: Address) -> None:
-        if told.revision < self._revision:
+    def _apply(self, received: PeerList, entry: Address) -> None:
+        if received.revision < self._revision:
             return
-        places = {one.host: one.zone for one in told.peers}
+        zones_by_host = {peer.host: peer.zone for peer in received.peers}
         self.is_known = True
-        self._digest = list_digest(places)
-        self._revision = told.revision
+        self._digest = list_digest(zones_by_host)
+        self._revision = received.revision
         log(
             Event.PEERS_TAKEN,
             entry=entry[0],
-            revision=told.revision,
-            peers=len(places),
+            revision=received.revision,
+            peers=len(zones_by_host),
         )
-        self._on_list(places)
+        self._on_list(zones_by_host)
 
 
 def _unpacked(packed: bytes) -> PeerList:
--- a/src/linnetwood/fleet/reportsubscribers.py
+++ b/src/linnetwood/fleet/reportsubscribers.py
@@ -1,4 +1,4 @@
-"""Which entries hear an endpoint process, and since when; no I/O or clock."""
+"""Entries that subscribe to an endpoint's load reports; no I/O or clock."""
 
 import dataclasses
 from collections import defaultdict
@@ -6,43 +6,59 @@
 
 from linnetwood.fleet.news import Address
 
-# What a process sends and an entry receives at most: 80 reports of 50 bytes
-# with their headers are 4 KB of the 7 KB a second that control may take.
+# The most that a process sends and that an entry receives: 80 reports of 50
+# bytes with their headers are 4 KB a second, of the 7 KB a second that control
+# traffic may take.
 _REPORTS_PER_S = 80
-# The pace of small fleets; each report asks the engine of the VM once.
-_LEAST_EVERY_S = 0.1
-# Engines of other zones are the second choice: half as often will do.
+# The interval in small fleets. It is not shorter because each report costs a
+# request to the VM's engine.
+_MIN_EVERY_S = 0.1
+# Entries of other zones get every second report only: they send calls here
+# only as a second choice.
 _OTHER_ZONE_STRIDE = 2
-# Whoever is due within this is told now, since ticks come a little early.
+# A report due within this time is sent now, since ticks may come early.
 _DUE_EARLY_S = 0.02
 
-# An entry greets once a second; four greetings missed, and it is told no more.
+# Entries renew their subscription once a second. It expires after 4 missed
+# renewals.
 _EXPIRES_AFTER_S = 4.0
-# So long an entry that just came is told what others know already: longer than
-# a greeting and an answer take, should one datagram be lost.
+# For this time after its first subscription an entry is also sent what the
+# others know already. That is longer than a subscription and its answer take
+# if one datagram is lost.
 _NEW_FOR_S = 1.5
-# Of what an endpoint takes that names a limit, the part of those entries which
-# do not hear it, where there are any.
+# The share of an endpoint's rate limit for entries that do not subscribe to its
+# reports, where there are any.
 UNSUBSCRIBED_SHARE = 1 / 3
-# What those of its own zone share of the rest, who send it most of its calls.
+# The share of the rest for entries of its own zone, which send it most of its
+# calls.
 _OWN_ZONE_SHARE = 0.75
-# Entries are counted by what greetings stand for, a little over or under.
+# From this share on, all entries count as subscribed. Entries are counted by
+# what their subscriptions represent, and this count may be slightly off.
 _ALL_SUBSCRIBED_SHARE = 0.95
-# Greetings come once a second: in a longer silence of all entries something may
-# have been named that nobody told.
+# Subscriptions are renewed once a second. In a longer silence of all entries a
+# version may have been named without this endpoint being told.
 _GAP_S = 1.5
 
 
 def report_every_s(zones: Sequence[str], own: str) -> float:
-    """Give the pace of reports within a zone, for all those that take part."""
+    """Return the interval of reports within the own zone, in seconds.
+
+    The zones are those of all processes that take part.
+    """
     near = zones.count(own)
-    each = near + (len(zones) - near) / _OTHER_ZONE_STRIDE
-    return max(_LEAST_EVERY_S, each / _REPORTS_PER_S)
+    reports = near + (len(zones) - near) / _OTHER_ZONE_STRIDE
+    return max(_MIN_EVERY_S, reports / _REPORTS_PER_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportSubscription:
-    """What an entry says of itself; its number starts anew with a process."""
+    """What an entry sends to subscribe or to renew.
+
+    The number grows with each datagram and starts anew with the entry's
+    process. Reports are to come every `every_s` seconds or less often. Where
+    each entry subscribes to some endpoints only, one represents several
+    entries: `represents` says how many.
+    """
 
     number: int
     zone: str = ''
@@ -51,126 +67,145 @@
 
 
 class _Subscriber:
-    """One entry."""
+    """One entry that subscribes."""
 
-    __slots__ = ('subscribed_at', 'report_due_at', 'subscription', 'renewed_at')
+    __slots__ = ('renewed_at', 'report_due_at', 'subscribed_at', 'subscription')
 
-    def __init__(self, greeting: ReportSubscription, now: float) -> None:
-        self.subscription = greeting
+    def __init__(self, subscription: ReportSubscription, now: float) -> None:
+        self.subscription = subscription
         self.subscribed_at = now
         self.renewed_at = now
         self.report_due_at = now
 
 
 class ReportSubscribers:
-    """Hold the entries that greeted lately."""
+    """Hold the entries whose subscriptions have not expired.
+
+    Times are in seconds of one monotonic clock.
+    """
 
     __slots__ = ('_renewed_at', '_subscribers', '_unbroken_since')
 
     def __init__(self, now: float) -> None:
-        """Know nobody."""
+        """Start without subscribers."""
         self._subscribers: dict[Address, _Subscriber] = {}
         self._unbroken_since = now
         self._renewed_at = now
 
     def subscribe(
-        self, address: Address, greeting: ReportSubscription, now: float
+        self, address: Address, subscription: ReportSubscription, now: float
     ) -> None:
-        """Note a greeting."""
+        """Add or renew the subscription of the entry at an address."""
         if now - self._renewed_at > _GAP_S:
             self._unbroken_since = now
         self._renewed_at = now
         known = self._subscribers.get(address)
-        if known is None or greeting.number < known.subscription.number:
-            self._subscribers[address] = _Subscriber(greeting, now)
+        if known is None or subscription.number < known.subscription.number:
+            self._subscribers[address] = _Subscriber(subscription, now)
         else:
-            known.subscription = greeting
+            known.subscription = subscription
             known.renewed_at = now
 
     def expire(self, now: float) -> None:
-        """Forget those that have gone."""
+        """Remove the subscribers that did not renew in time."""
         self._subscribers = {
-            address: one
-            for address, one in self._subscribers.items()
-            if now - one.renewed_at < _EXPIRES_AFTER_S
+            address: subscriber
+            for address, subscriber in self._subscribers.items()
+            if now - subscriber.renewed_at < _EXPIRES_AFTER_S
         }
 
     def addresses(self) -> list[Address]:
-        """Give all of them."""
+        """Return the addresses of all subscribers."""
         return list(self._subscribers)
 
     def zones(self) -> set[str]:
-        """Give the availability zones of all of them."""
-        return {one.subscription.zone for one in self._subscribers.values()}
+        """Return the availability zones of all subscribers."""
+        return {
+            subscriber.subscription.zone
+            for subscriber in self._subscribers.values()
+        }
 
     def in_zone(self, zone: str) -> list[Address]:
-        """Give those of an availability zone."""
+        """Return the addresses of the subscribers in an availability zone."""
         return [
             address
-            for address, one in self._subscribers.items()
-            if one.subscription.zone == zone
+            for address, subscriber in self._subscribers.items()
+            if subscriber.subscription.zone == zone
         ]
 
     def entry_count(self, now: float) -> int:
-        """Give how many entries there are; 0 while too few have greeted."""
+        """Return how many entries there are; 0 while that is not known.
+
+        It is not known until entries have subscribed for 1.5 s without a gap.
+        """
         if self.unbroken_for_s(now) < _GAP_S:
             return 0
-        stand_for = (
-            one.subscription.represents for one in self._subscribers.values()
+        represented = (
+            subscriber.subscription.represents
+            for subscriber in self._subscribers.values()
         )
-        return round(sum(stand_for))
+        return round(sum(represented))
 
     def quota_share(self, zone: str, now: float, *, near: bool) -> float:
-        """Give what each of the own zone, or of the others, may send.
+        """Return the quota of each entry of the own zone, or of the others.
 
-        It is a part of what the endpoint takes from all; 0 where it is not
-        known who shares it.
+        It is a share of the endpoint's rate limit; 0 while it is not known how
+        many entries share the limit.
         """
         entries = self.entry_count(now)
         if not entries:
             return 0
-        heard = len(self._subscribers)
+        sharing = len(self._subscribers)
         share = (
             1
-            if heard >= _ALL_SUBSCRIBED_SHARE * entries
+            if sharing >= _ALL_SUBSCRIBED_SHARE * entries
             else 1 - UNSUBSCRIBED_SHARE
         )
         inside = len(self.in_zone(zone))
-        if 0 < inside < heard:
+        if 0 < inside < sharing:
             share *= _OWN_ZONE_SHARE if near else 1 - _OWN_ZONE_SHARE
-            heard = inside if near else heard - inside
-        return share / heard
-
-    def own_zone_every_s(self, zone: str) -> float:
-        """Give the pace of reports to entries of the own zone, in seconds."""
-        zones = [one.subscription.zone for one in self._subscribers.values()]
-        return report_every_s(zones, zone)
+            sharing = inside if near else sharing - inside
+        return share / sharing
+
+    def own_zone_every_s(self, own_zone: str) -> float:
+        """Return the interval of reports to entries of the own zone, in s."""
+        zones = [
+            subscriber.subscription.zone
+            for subscriber in self._subscribers.values()
+        ]
+        return report_every_s(zones, own_zone)
 
     def take_due(self, zone: str, now: float) -> dict[float, list[Address]]:
-        """Give those to tell now, by when each is told again, in seconds.
+        """Return the addresses to report to now, by their interval in seconds.
 
-        They are taken to be told.
+        The next report to each of them is scheduled one interval later.
         """
         near_s = self.own_zone_every_s(zone)
         due: dict[float, list[Address]] = defaultdict(list)
-        for address, one in self._subscribers.items():
-            if one.report_due_at > now + _DUE_EARLY_S:
+        for address, subscriber in self._subscribers.items():
+            if subscriber.report_due_at > now + _DUE_EARLY_S:
                 continue
-            stride = 1 if one.subscription.zone == zone else _OTHER_ZONE_STRIDE
-            every_s = stride * max(near_s, one.subscription.every_s)
-            # Ticks that came late are not made up for all at once.
-            one.report_due_at = max(one.report_due_at, now - every_s) + every_s
+            stride = (
+                1
+                if subscriber.subscription.zone == zone
+                else _OTHER_ZONE_STRIDE
+            )
+            every_s = stride * max(near_s, subscriber.subscription.every_s)
+            # Reports missed by late ticks are not sent all at once.
+            subscriber.report_due_at = (
+                max(subscriber.report_due_at, now - every_s) + every_s
+            )
             due[every_s].append(address)
         return due
 
     def new_subscribers(self, now: float) -> list[Address]:
-        """Give those that came just now."""
+        """Return the addresses that subscribed just now."""
         return [
             address
-            for address, one in self._subscribers.items()
-            if now - one.subscribed_at < _NEW_FOR_S
+            for address, subscriber in self._subscribers.items()
+            if now - subscriber.subscribed_at < _NEW_FOR_S
         ]
 
     def unbroken_for_s(self, now: float) -> float:
-        """Give for how long entries have greeted without a gap, in seconds."""
+        """Return for how many seconds entries have subscribed without a gap."""
         return now - self._unbroken_since
--- a/tests/test_peerlist.py
+++ b/tests/test_peerlist.py
@@ -36,9 +36,9 @@
         await self.follower.close()
         await self.server.close()
 
-    def take(self, places: dict[str, str]) -> None:
+    def take(self, zones_by_host: dict[str, str]) -> None:
         """Keep a list that came."""
-        self.taken.append(places)
+        self.taken.append(zones_by_host)
         self.came.set()
 
     async def greeted(self, told: int, revision: int) -> None:
