--- a/src/linnetwood/fleet/changes.py
+++ b/src/linnetwood/fleet/changes.py
@@ -1,4 +1,4 @@
-"""Bring an operator's change into the key-value service, never guessing."""
+"""Write operators' configuration changes to the key-value service."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,57 +21,60 @@
 
 
 class ConfigChanges:
-    """Accept changes by compare-and-swap and settle lost answers."""
+    """Accept changes by compare-and-swap, and find out after a lost answer.
+
+    An outcome that can't be found out is reported as not known.
+    """
 
     def __init__(self, store: KeyValue, clock: Clock, adopt: Adopt) -> None:
-        """Adopt each configuration that is read or written."""
+        """Call `adopt` with each encoded configuration read or written."""
         self._store = store
         self._clock = clock
         self._adopt = adopt
 
     async def propose(self, proposal: configuration.Proposal) -> Answer:
-        """Try one change; say accepted, refused or not known yet."""
+        """Try one change; the verdict is accepted, refused or not known."""
         try:
             stored = await self._store.get(configuration.CONFIG_KEY)
         except StoreError as exc:
             return _refused(proposal, 0, 'store-unavailable', exc.detail)
-        standing = self._read(stored)
-        earlier = configuration.find_change(standing, proposal.operation_id)
+        current = self._read(stored)
+        earlier = configuration.find_change(current, proposal.operation_id)
         if earlier is not None:
             return _accepted(proposal, earlier.revision)
-        if standing.revision != proposal.base_revision:
-            return _overtaken(proposal, standing)
-        return await self._swap(proposal, stored, standing)
+        if current.revision != proposal.base_revision:
+            return _overtaken(proposal, current)
+        return await self._swap(proposal, stored, current)
 
     async def settle(self, operation_id: str) -> Answer:
-        """Say whether an earlier change was accepted."""
-        probe = configuration.Proposal(Deployment(), 0, operation_id, '', '')
+        """Return whether an earlier change was accepted."""
+        proposal = configuration.Proposal(Deployment(), 0, operation_id, '', '')
         try:
-            standing = self._read(
+            current = self._read(
                 await self._store.get(configuration.CONFIG_KEY),
             )
         except StoreError as exc:
-            return _unknown(probe, exc.detail)
-        change = configuration.find_change(standing, operation_id)
+            return _unknown(proposal, exc.detail)
+        change = configuration.find_change(current, operation_id)
         if change is not None:
-            return _accepted(probe, change.revision)
-        if configuration.history_starts_after(standing, 0):
-            return _unknown(probe, 'older than the history that is kept')
-        return _refused(probe, standing.revision, 'not-accepted', '')
+            return _accepted(proposal, change.revision)
+        if configuration.history_starts_after(current, 0):
+            return _unknown(proposal, 'older than the history that is kept')
+        return _refused(proposal, current.revision, 'not-accepted', '')
 
     async def _swap(
         self,
         proposal: configuration.Proposal,
         stored: StoredValue,
-        standing: Configuration,
+        current: Configuration,
     ) -> Answer:
-        wanted = configuration.apply_proposal(
-            standing, proposal, self._clock.wall()
+        proposed = configuration.apply_proposal(
+            current, proposal, self._clock.wall()
         )
         try:
-            encoded = configuration.pack(wanted)
+            encoded = configuration.pack(proposed)
         except ConfigError as exc:
-            return _refused(proposal, standing.revision, exc.code, exc.detail)
+            return _refused(proposal, current.revision, exc.code, exc.detail)
         try:
             swapped = await self._store.swap(
                 configuration.CONFIG_KEY,
@@ -83,15 +86,15 @@
         except StoreError as exc:
             return _refused(
                 proposal,
-                standing.revision,
+                current.revision,
                 'store-unavailable',
                 exc.detail,
             )
         if not swapped.done:
             return await self._read_back(proposal)
         self._adopt(encoded)
-        log(Event.CONFIG_CHANGE, revision=wanted.revision)
-        return _accepted(proposal, wanted.revision)
+        log(Event.CONFIG_CHANGE, revision=proposed.revision)
+        return _accepted(proposal, proposed.revision)
 
     async def _read_back(self, proposal: configuration.Proposal) -> Answer:
         for attempt in range(_SETTLE_TRIES):
@@ -100,20 +103,21 @@
                 stored = await self._store.get(configuration.CONFIG_KEY)
             except StoreError:
                 continue
-            standing = self._read(stored)
-            change = configuration.find_change(standing, proposal.operation_id)
+            current = self._read(stored)
+            change = configuration.find_change(current, proposal.operation_id)
             if change is not None:
                 return _accepted(proposal, change.revision)
-            # A lost write may still be on its way, unless it was overtaken.
-            if standing.revision > proposal.base_revision:
-                return _overtaken(proposal, standing)
+            # The lost write may still take effect, unless another change was
+            # accepted on the same base.
+            if current.revision > proposal.base_revision:
+                return _overtaken(proposal, current)
         return _unknown(proposal, 'the answer of the service was lost')
 
     def _read(self, stored: StoredValue) -> Configuration:
-        standing = configuration.unpack(stored.payload)
+        current = configuration.unpack(stored.payload)
         if stored.version:
             self._adopt(stored.payload)
-        return standing
+        return current
 
 
 def _accepted(proposal: configuration.Proposal, revision: int) -> Answer:
@@ -141,15 +145,15 @@
 
 def _overtaken(
     proposal: configuration.Proposal,
-    standing: Configuration,
+    current: Configuration,
 ) -> Answer:
     answer = _refused(
         proposal,
-        standing.revision,
+        current.revision,
         'overtaken',
-        f'based on {proposal.base_revision}, in force is {standing.revision}',
+        f'based on {proposal.base_revision}, in force is {current.revision}',
     )
-    answer.since = configuration.changes_since(standing, proposal.base_revision)
+    answer.since = configuration.changes_since(current, proposal.base_revision)
     return answer
 
 
--- a/src/linnetwood/fleet/configuration.py
+++ b/src/linnetwood/fleet/configuration.py
@@ -1,4 +1,4 @@
-"""Decide which configuration is in force and how a change is settled."""
+"""Configurations: encoding, changes by operators, history and validation."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """A change that an operator wants, and what it was based on."""
+    """A change that an operator wants, and the revision it is based on."""
 
     deployment: Deployment
     base_revision: int
@@ -29,12 +29,15 @@
 
 
 def empty() -> Configuration:
-    """Give what is in force before anything was accepted."""
+    """Return the configuration in force before any change was accepted."""
     return Configuration(revision=0, deployment=Deployment(), history=[])
 
 
 def unpack(encoded: bytes) -> Configuration:
-    """Read a configuration; no bytes mean the empty one."""
+    """Decode a configuration; no bytes mean the empty one.
+
+    Raises ConfigError if the bytes can't be decoded.
+    """
     if not encoded:
         return empty()
     try:
@@ -44,7 +47,7 @@
 
 
 def pack(configuration: Configuration) -> bytes:
-    """Write a configuration; raise ConfigError when it is too large."""
+    """Encode a configuration; raise ConfigError if it is too large."""
     encoded = encode(configuration)
     if len(encoded) > MAX_VALUE:
         raise ConfigError(
@@ -55,19 +58,19 @@
 
 
 def apply_proposal(
-    standing: Configuration,
+    current: Configuration,
     proposal: Proposal,
     wall: float,
 ) -> Configuration:
-    """Give the configuration that the proposal makes of the standing one."""
+    """Return the configuration after a proposal; `wall` is in Unix seconds."""
     change = Change(
-        revision=standing.revision + 1,
+        revision=current.revision + 1,
         operation_id=proposal.operation_id,
         operator_name=proposal.operator_name,
         accepted_unix_ms=int(wall * 1000),
         summary=proposal.summary,
     )
-    history = [*standing.history, change][-HISTORY_KEPT:]
+    history = [*current.history, change][-HISTORY_KEPT:]
     return Configuration(
         revision=change.revision,
         deployment=proposal.deployment,
@@ -79,7 +82,7 @@
     configuration: Configuration,
     operation_id: str,
 ) -> Change | None:
-    """Give the accepted change with an operation id."""
+    """Return the accepted change with an operation id, if it is known."""
     for change in configuration.history:
         if change.operation_id == operation_id:
             return change
@@ -90,7 +93,7 @@
     configuration: Configuration,
     revision: int,
 ) -> list[Change]:
-    """Give what was accepted after a revision."""
+    """Return the known changes that were accepted after a revision."""
     return [
         change for change in configuration.history if change.revision > revision
     ]
@@ -99,34 +102,34 @@
 def history_starts_after(
     configuration: Configuration, base_revision: int
 ) -> bool:
-    """Tell whether the history no longer reaches back to a revision."""
+    """Tell whether changes right after a revision were dropped."""
     if not configuration.history:
         return False
     return configuration.history[0].revision > base_revision + 1
 
 
 def with_intent(deployment: Deployment, intent: Intent) -> Deployment:
-    """Replace the intent for one model, remembering what it replaces."""
+    """Replace the intent for one model and record in it what it replaces."""
     others = []
-    for standing in deployment.intents:
-        if standing.model == intent.model:
-            _set_previous(intent, standing)
+    for existing in deployment.intents:
+        if existing.model == intent.model:
+            _set_previous(intent, existing)
         else:
-            others.append(standing)
+            others.append(existing)
     return _with_intents(deployment, [*others, intent])
 
 
-def _set_previous(intent: Intent, standing: Intent) -> None:
-    if standing.version == intent.version:
-        intent.previous_version = standing.previous_version
-        intent.previous_replicas = standing.previous_replicas
+def _set_previous(intent: Intent, replaced: Intent) -> None:
+    if replaced.version == intent.version:
+        intent.previous_version = replaced.previous_version
+        intent.previous_replicas = replaced.previous_replicas
     else:
-        intent.previous_version = standing.version
-        intent.previous_replicas = standing.replicas
+        intent.previous_version = replaced.version
+        intent.previous_replicas = replaced.replicas
 
 
 def without_rollout(deployment: Deployment, model: str) -> Deployment:
-    """Take the model's intent back to what it replaced."""
+    """Restore what the model's intent replaced; raise ConfigError if none."""
     intents = []
     if all(intent.model != model for intent in deployment.intents):
         raise ConfigError('no-rollout', f'model {model} has no intent')
@@ -159,7 +162,7 @@
 
 
 def manifest_of(deployment: Deployment, model: str, version: str) -> str:
-    """Give the manifest of a declared version, or an empty name."""
+    """Return the manifest of a declared version; '' if there is none."""
     for declared in deployment.models:
         if declared.name != model:
             continue
@@ -170,23 +173,25 @@
 
 
 def validation_errors(deployment: Deployment) -> Iterator[str]:
-    """Yield what is wrong with a deployment, in plain words."""
+    """Yield a message for each error of a deployment."""
     yield from _duplicate_errors(
         'model', [model.name for model in deployment.models]
     )
     yield from _duplicate_errors(
-        'service', [one.name for one in deployment.services]
+        'service', [service.name for service in deployment.services]
     )
     yield from _duplicate_errors(
-        'organisation', [one.name for one in deployment.organisations]
+        'organisation',
+        [organisation.name for organisation in deployment.organisations],
     )
     yield from _duplicate_errors(
-        'intent for model', [one.model for one in deployment.intents]
+        'intent for model', [intent.model for intent in deployment.intents]
     )
     for model in deployment.models:
         names = {version.name for version in model.versions}
         yield from _duplicate_errors(
-            f'version of {model.name}', [one.name for one in model.versions]
+            f'version of {model.name}',
+            [version.name for version in model.versions],
         )
         for adapter in model.adapters:
             if adapter.base_version not in names:
@@ -220,7 +225,9 @@
 
 
 def _duplicate_errors(kind: str, names: list[str]) -> Iterator[str]:
-    for name in sorted({one for one in names if names.count(one) > 1}):
+    for name in sorted(
+        {candidate for candidate in names if names.count(candidate) > 1}
+    ):
         yield f'{kind} {name}: found twice, allowed is once'
     if '' in names:
         yield f'{kind}: name: found nothing, allowed is a name'
--- a/src/linnetwood/fleet/kvtable.py
+++ b/src/linnetwood/fleet/kvtable.py
@@ -1,4 +1,7 @@
-"""The key-value service's own rules: versions, compare-and-swap, leases."""
+"""In-memory table with the rules of the key-value service.
+
+These are versions, compare-and-swap and leases.
+"""
 
 import dataclasses
 
@@ -9,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """One key's bytes and the version that put them there."""
+    """Bytes of a key, the version that wrote them, and their lease if any."""
 
     version: int
     payload: bytes
@@ -18,14 +21,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SwapResult:
-    """The outcome of a compare-and-swap and what stands now."""
+    """Whether a compare-and-swap took effect, and the key's version now."""
 
     done: bool
     version: int
 
 
 class KvTable:
-    """Hold keys in memory; versions grow over the whole table."""
+    """Hold keys; all of them and the leases share one version counter."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -34,7 +37,7 @@
         self._version = 0
 
     def get(self, key: str, now: float) -> KeyRecord | None:
-        """Give what stands under a key."""
+        """Return the record of a key, if there is one."""
         self._expire(now)
         return self._entries.get(key)
 
@@ -46,26 +49,29 @@
         now: float,
         lease: int = 0,
     ) -> SwapResult:
-        """Put bytes if the key's version is as expected; 0 means absent."""
+        """Write bytes if the key's version is as expected; 0 means absent.
+
+        Writes nothing if the bytes are too many or the lease has expired.
+        """
         self._expire(now)
-        entry = self._entries.get(key)
-        standing = entry.version if entry else 0
-        if standing != expect or len(payload) > MAX_VALUE:
-            return SwapResult(False, standing)
+        record = self._entries.get(key)
+        current = record.version if record else 0
+        if current != expect or len(payload) > MAX_VALUE:
+            return SwapResult(False, current)
         if lease and lease not in self._leases:
-            return SwapResult(False, standing)
+            return SwapResult(False, current)
         self._version += 1
         self._entries[key] = KeyRecord(self._version, payload, lease)
         return SwapResult(True, self._version)
 
     def grant(self, ttl_s: float, now: float) -> int:
-        """Open a lease and give its number."""
+        """Open a lease and return its number."""
         self._version += 1
         self._leases[self._version] = now + ttl_s
         return self._version
 
     def renew(self, lease: int, ttl_s: float, now: float) -> bool:
-        """Extend a lease that has not lapsed."""
+        """Extend a lease; return false if it has expired."""
         self._expire(now)
         if lease not in self._leases:
             return False
@@ -73,15 +79,17 @@
         return True
 
     def _expire(self, now: float) -> None:
-        lapsed = {
-            lease for lease, until in self._leases.items() if until <= now
+        expired = {
+            lease
+            for lease, expires_at in self._leases.items()
+            if expires_at <= now
         }
-        if not lapsed:
+        if not expired:
             return
-        for lease in lapsed:
+        for lease in expired:
             self._leases.pop(lease)
         self._entries = {
-            key: entry
-            for key, entry in self._entries.items()
-            if entry.lease not in lapsed
+            key: record
+            for key, record in self._entries.items()
+            if record.lease not in expired
         }
--- a/src/linnetwood/fleet/store.py
+++ b/src/linnetwood/fleet/store.py
@@ -1,4 +1,4 @@
-"""The platform's key-value service, as the system uses it."""
+"""Client of the platform's key-value service."""
 
 import dataclasses
 from typing import Protocol
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A key's bytes and version; version 0 means that the key is absent."""
+    """Bytes and version of a key; version 0 means that the key is absent."""
 
     version: int
     payload: bytes
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SwapOutcome:
-    """Whether a compare-and-swap took effect, and the standing version."""
+    """Whether a compare-and-swap took effect, and the key's version now."""
 
     done: bool
     version: int
@@ -43,20 +43,20 @@
         """Read a key; raise StoreError when the service does not answer."""
 
     async def swap(self, key: str, payload: bytes, expect: int) -> SwapOutcome:
-        """Write a key if its version is as expected, or 0 for absent.
+        """Write a key if its version is as expected; 0 expects no key.
 
-        Raises StoreError when surely nothing was written, and
-        StoreAnswerLostError when the write may have taken effect.
+        Raises StoreError if nothing was written, and StoreAnswerLostError if
+        the write may have taken effect.
         """
 
     async def wait(
         self, key: str, after: int, wait_s: float
     ) -> StoredValue | None:
-        """Wait for a version above the given one; None when none came."""
+        """Wait for a version after the given one; None if none came."""
 
 
 class HttpKeyValue:
-    """Speak to the service over HTTP."""
+    """The service over HTTP."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         timeout_s: float,
         client: AsyncHTTPClient,
     ) -> None:
-        """Use the given client for every call."""
+        """Use a client for calls to a URL; each call has a timeout in s."""
         self._url = url.rstrip('/')
         self._timeout_s = timeout_s
         self._client = client
--- a/src/linnetwood/fleet/wanted.py
+++ b/src/linnetwood/fleet/wanted.py
@@ -1,4 +1,9 @@
-"""Which version every engine should serve, and since when; no I/O or clock."""
+"""Model versions that engines should serve, and since when; no I/O or clock.
+
+A version is named when operators announce that engines should serve it. Each
+named version has a bound: that many seconds after it was named, no call starts
+on an older one any more.
+"""
 
 import math
 from collections.abc import Iterable
@@ -6,27 +11,33 @@
 from linnetwood.gen.wire.ttypes import WantedWeights
 
 _MILLISECONDS = 1000
-# The age of a version that serves and was never named.
+# The age that is sent for a version that serves and was never named.
 NOT_NAMED = -1
-# Older versions than these are no longer anybody's bound.
+# Only the newest named versions are sent; the bounds of older ones no longer
+# matter to any process.
 MAX_VERSIONS_SENT = 4
-# Calls stop going to an older version this long before they have to. Over a
-# narrowed link some took 1.3 to 2 s to arrive: this makes late ones seldom.
+# Calls are no longer sent to an older version this long before its bound. Over
+# a slow link some calls took 1.3 to 2 s to arrive; with this margin few of them
+# arrive late.
 SEND_MARGIN_S = 1.2
-# A call that has not begun by then is taken back; so long it may take to
-# reach an endpoint that it is.
+# A call that has not started this long before the bound is cancelled. The
+# cancellation may take this long to reach the endpoint.
 START_MARGIN_S = 0.8
-# Whoever learns of a version has told it everywhere by then (a greeting).
+# A process that learns of a version has spread it everywhere within this time,
+# the interval at which entries renew their subscriptions.
 SPREAD_WITHIN_S = 1.0
-# An engine finishes what it runs before it takes a version (measured).
+# An engine finishes the calls that it runs before it loads a version.
 ENGINE_SWITCH_S = 1.8
 
 
 class WantedVersions:
-    """Hold the named versions of each model, and the newest that serves."""
+    """Hold the named versions of each model, and the newest that serves.
+
+    Times are in seconds of one monotonic clock.
+    """
 
     def __init__(self, bound_s: float) -> None:
-        """Allow older versions for so long after a newer one was named."""
+        """Allow older versions for `bound_s` after a newer one was named."""
         self.bound_s = bound_s
         self._named: dict[str, dict[int, float]] = {}
         self._guessed: set[tuple[str, int]] = set()
@@ -36,36 +47,37 @@
         self,
         model: str,
         version: int,
-        since: float,
+        named_at: float,
         *,
         guessed: bool = False,
     ) -> bool:
         """Take in a named version; tell whether it is the newest.
 
-        Who comes after the naming can only guess since when it stands. What
-        others saw goes before any guess, and of what several saw the earliest.
+        A process that starts after a version was named can only guess when
+        that was. A time that a process saw replaces a guess; of several seen
+        or several guessed times the earliest counts.
         """
         named = self._named.setdefault(model, {})
-        newest = version > max(named, default=0)
+        is_newest = version > max(named, default=0)
         known = named.get(version)
         was_guessed = (model, version) in self._guessed
         if known is None or (was_guessed and not guessed):
-            named[version] = since
+            named[version] = named_at
             self._guessed.discard((model, version))
         elif was_guessed == guessed:
-            named[version] = min(since, known)
+            named[version] = min(named_at, known)
         if known is None and guessed:
             self._guessed.add((model, version))
-        return newest
+        return is_newest
 
     def add_serving(self, found: Iterable[tuple[str, int]]) -> None:
-        """Take in the versions that engines serve, named or not."""
+        """Take in pairs of model and version that engines serve."""
         for model, version in found:
             if version > self._serving.get(model, 0):
                 self._serving[model] = version
 
     def newest(self, model: str) -> int:
-        """Give the version to bring everywhere; 0 if none is known."""
+        """Return the version that all engines should serve; 0 if unknown."""
         newest = max(self._named.get(model, {}), default=0)
         return max(self._serving.get(model, 0), newest)
 
@@ -76,65 +88,77 @@
         transfer_s: float,
         now: float,
     ) -> int:
-        """Give the version to bring next to an engine that serves another.
-
-        Where versions are named one soon after the other, calls find no engine
-        from the older one's bound until it serves, and again for the newer; or,
-        if the older is left out, from its bound until the newer serves. The
-        older comes first where that leaves less time without an engine. All
-        VMs judge by the same times, so all bring the same.
+        """Return the version to load next on an engine that serves another.
+
+        If two versions are named shortly after each other, there are two
+        choices. Loading both leaves calls without an engine from the bound of
+        the older until it serves, and again from the bound of the newer until
+        that serves. Skipping the older leaves them without an engine from its
+        bound until the newer serves. The older is loaded if this makes the
+        total time without an engine shorter. All VMs decide by the same times,
+        so all load the same version. A transfer takes `transfer_s` seconds.
         """
         both_s = 2 * transfer_s + ENGINE_SWITCH_S - self.bound_s + SEND_MARGIN_S
-        aim = self.newest(model)
+        target = self.newest(model)
         named = self._named.get(model, {})
         for version in sorted(named, reverse=True):
-            if not serving < version < aim:
+            if not serving < version < target:
                 continue
-            apart_s = named.get(aim, now) - named[version]
+            apart_s = named.get(target, now) - named[version]
             still_due = now < named[version] + self.bound_s + transfer_s
             if apart_s >= both_s / 2 and still_due:
-                aim = version
-        return aim
+                target = version
+        return target
 
     def versions_by_model(self) -> dict[str, tuple[int, ...]]:
-        """Give the versions of each model: what serves, then all named."""
+        """Return the versions of each model: the serving, then all named."""
         return {model: self._versions(model) for model in self.models()}
 
     def models(self) -> list[str]:
-        """Give every model of which a version is known."""
+        """Return every model with a known version."""
         return sorted({*self._named, *self._serving})
 
     def oldest_allowed(self, model: str, now: float) -> int:
-        """Give the oldest version that a call may still start on; 0 for any.
+        """Return the oldest version that calls may be sent to; 0 for any.
 
-        Each named version has its own bound: a newer one extends none.
+        Each named version has its own bound; naming a newer one extends none.
         """
-        due = now - self.bound_s + SEND_MARGIN_S
+        latest_named_at = now - self.bound_s + SEND_MARGIN_S
         named = self._named.get(model, {})
         return max(
-            (version for version, since in named.items() if since <= due),
+            (
+                version
+                for version, named_at in named.items()
+                if named_at <= latest_named_at
+            ),
             default=0,
         )
 
     def cutoffs(self, model: str) -> tuple[tuple[int, float], ...]:
-        """Give each named version and from when calls start on none before."""
+        """Return each named version and when older ones get no more calls."""
         named = self._named.get(model, {})
         return tuple(
-            (version, since + self.bound_s - SEND_MARGIN_S)
-            for version, since in named.items()
+            (version, named_at + self.bound_s - SEND_MARGIN_S)
+            for version, named_at in named.items()
         )
 
     def start_deadline(self, model: str, version: int) -> float:
-        """Give until when a call may begin on a version; inf for any time."""
+        """Return until when a call may start on a version; inf for ever."""
         named = self._named.get(model, {})
-        newer = [since for one, since in named.items() if one > version]
-        first = min(newer, default=math.inf)
+        newer_named_at = [
+            named_at for other, named_at in named.items() if other > version
+        ]
+        first = min(newer_named_at, default=math.inf)
         return first + self.bound_s - START_MARGIN_S
 
     def cutoff(self, model: str, version: int) -> float | None:
-        """Give from when calls start on this version only, if it was named."""
-        since = self._named.get(model, {}).get(version)
-        return None if since is None else since + self.bound_s - SEND_MARGIN_S
+        """Return when older versions get no more calls, if it was named."""
+        named_at = self._named.get(model, {}).get(version)
+        return (
+            None
+            if named_at is None
+            else named_at + self.bound_s - SEND_MARGIN_S
+        )
 
     def to_messages(
         self,
@@ -142,47 +166,52 @@
         models: Iterable[str],
         now: float,
     ) -> list[WantedWeights]:
-        """Give what to tell others of a service's models."""
-        rows = []
+        """Return what to send others about the models of a service."""
+        messages = []
         for model in models:
             named = self._named.get(model, {})
             serving = self._serving.get(model, 0)
             if serving and serving not in named:
-                rows.append(WantedWeights(target, model, serving, NOT_NAMED))
-            for version, since in sorted(named.items())[-MAX_VERSIONS_SENT:]:
-                age_ms = int((now - since) * _MILLISECONDS)
+                messages.append(
+                    WantedWeights(target, model, serving, NOT_NAMED)
+                )
+            for version, named_at in sorted(named.items())[-MAX_VERSIONS_SENT:]:
+                age_ms = int((now - named_at) * _MILLISECONDS)
                 guessed = (model, version) in self._guessed
-                rows.append(
+                messages.append(
                     WantedWeights(target, model, version, age_ms, guessed),
                 )
-        return rows
+        return messages
 
     def apply_messages(
         self,
-        rows: Iterable[WantedWeights],
+        messages: Iterable[WantedWeights],
         now: float,
         *,
         steady: bool = False,
     ) -> None:
-        """Take in what another process tells.
+        """Take in what another process sent.
 
-        Who was told by entries all the while, steadily, and hears of a version
-        for the first time by a guess, knows that nobody saw it named before.
+        A steady process has been sent versions by entries without a gap. If it
+        learns of a version first by a guess, no process can have seen that
+        version named long before, and so it takes a recent time instead.
         """
-        for row in rows:
-            if row.age_ms < 0:
-                self.add_serving([(row.model, row.version)])
+        for message in messages:
+            if message.age_ms < 0:
+                self.add_serving([(message.model, message.version)])
             else:
-                since = now - row.age_ms / _MILLISECONDS
-                guessed = bool(row.guessed)
-                if guessed and steady and not self._knows(row):
+                named_at = now - message.age_ms / _MILLISECONDS
+                guessed = bool(message.guessed)
+                if guessed and steady and not self._knows(message):
                     guessed = False
-                    since = max(since, now - SPREAD_WITHIN_S)
-                self.add_named(row.model, row.version, since, guessed=guessed)
+                    named_at = max(named_at, now - SPREAD_WITHIN_S)
+                self.add_named(
+                    message.model, message.version, named_at, guessed=guessed
+                )
 
     def _versions(self, model: str) -> tuple[int, ...]:
         named = sorted(self._named.get(model, ()))
         return (self._serving.get(model, 0), *named)
 
-    def _knows(self, row: WantedWeights) -> bool:
-        return row.version in self._named.get(row.model, {})
+    def _knows(self, message: WantedWeights) -> bool:
+        return message.version in self._named.get(message.model, {})
--- a/src/linnetwood/fleet/watching.py
+++ b/src/linnetwood/fleet/watching.py
@@ -1,4 +1,8 @@
-"""Learn the newest configuration: a few watch, the rest hear from peers."""
+"""Follow the newest configuration.
+
+A few processes of each region watch the key-value service; the others fetch
+from their peers.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -24,8 +28,8 @@
 
 WATCHERS_PER_REGION = 2
 _BACKOFF_FIRST_S = 1.0
-_BACKOFF_MOST_S = 60.0
-_BACKOFF_LEAST_SHARE = 0.25
+_BACKOFF_MAX_S = 60.0
+_BACKOFF_MIN_SHARE = 0.25
 _IDLE_S = 2.0
 _ZONE_SILENT_S = 12.0
 
@@ -36,24 +40,24 @@
     cut_off: list[str],
     count: int = WATCHERS_PER_REGION,
 ) -> list[str]:
-    """Choose who of a region watches the key-value service.
+    """Choose the VMs of a region that watch the key-value service.
 
-    Zones that the chooser does not hear from are left out, so that a zone on
-    its own finds watchers among its own members. Two views that differ choose
-    more watchers than needed, which costs calls and does no harm.
+    Zones in `cut_off`, which are not heard from, are left out, so that a zone
+    that is cut off finds watchers among its own members. Processes whose views
+    differ choose more watchers than needed, which only costs extra calls.
     """
-    able = [
+    candidates = [
         member.vm
         for member in members
         if member.region == region
         and member.status == Health.ALIVE
         and member.availability_zone not in cut_off
     ]
-    return sorted(able, key=lambda vm: hash64(f'watch|{vm}'))[:count]
+    return sorted(candidates, key=lambda vm: hash64(f'watch|{vm}'))[:count]
 
 
 class ConfigTask(Listener):
-    """Hold the configuration in force, which only moves forward."""
+    """Hold the configuration in force; its revision never goes back."""
 
     def __init__(
         self,
@@ -76,51 +80,51 @@
         self._version = 0
         self._listeners: list[Callable[[Configuration], None]] = []
         self._tasks: set[asyncio.Task[None]] = set()
-        self._fetching = 0
+        self._fetching_revision = 0
 
     def add_listener(self, listener: Callable[[Configuration], None]) -> None:
-        """Add somebody who wants each newer configuration."""
+        """Call a function with each newer configuration from now on."""
         self._listeners.append(listener)
 
     @property
     def deployment(self) -> Deployment:
-        """Give the deployment in force."""
+        """Return the deployment in force."""
         return self.current.deployment
 
     async def start(self, wait_s: float) -> None:
-        """Begin to watch, if it falls to this process."""
+        """Begin to follow; each watch of the service takes up to `wait_s`."""
         self._gossip.add_listener(self)
         self._spawn(self._watch(wait_s))
 
     async def close(self) -> None:
-        """Stop watching."""
+        """Stop following."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def adopt(self, encoded: bytes) -> None:
-        """Put a configuration in force unless it is older."""
+        """Put an encoded configuration in force unless it is older."""
         self.is_loaded = True
-        arrived = configuration.unpack(encoded)
-        if arrived.revision <= self.current.revision:
+        received = configuration.unpack(encoded)
+        if received.revision <= self.current.revision:
             return
-        self.current = arrived
+        self.current = received
         self.encoded = encoded
-        log(Event.CONFIG_ADOPTED, revision=arrived.revision)
-        self._gossip.announce_revision(arrived.revision)
+        log(Event.CONFIG_ADOPTED, revision=received.revision)
+        self._gossip.announce_revision(received.revision)
         for listener in self._listeners:
-            listener(arrived)
+            listener(received)
 
     def revision_seen(self, revision: int, source: Address) -> None:
-        """Fetch a newer revision from the process that has it."""
+        """Fetch a newer revision from the process that holds it."""
         if revision <= self.current.revision:
             self.is_loaded = True
-        if revision > max(self._fetching, self.current.revision):
-            self._fetching = revision
+        if revision > max(self._fetching_revision, self.current.revision):
+            self._fetching_revision = revision
             self._spawn(self._fetch(source))
 
     def is_watcher(self) -> bool:
-        """Tell whether this process is one of those that ask the platform."""
+        """Tell whether this process is one of those that poll the platform."""
         membership = self._gossip.membership
         chosen = choose_watchers(
             list(membership.view.members.values()),
@@ -130,7 +134,7 @@
         return membership.own_record.vm in chosen
 
     def reply(self, above: int) -> ConfigReply:
-        """Answer a peer's request with what is in force here."""
+        """Answer a peer; include the configuration if its revision is above."""
         if self.current.revision <= above:
             return ConfigReply(revision=self.current.revision)
         return ConfigReply(
@@ -144,7 +148,7 @@
         except LinnetwoodError as exc:
             log(Event.CONFIG_IGNORED, source=str(source), detail=str(exc))
         finally:
-            self._fetching = 0
+            self._fetching_revision = 0
 
     async def _fetch_from(self, source: Address) -> None:
         stream = await self._dialler.dial(source)
@@ -199,11 +203,11 @@
 
 
 def backoff_s(failures: int, rng: Random) -> float:
-    """Give the pause after so many failures in a row, with full jitter."""
+    """Return the jittered pause after a number of failures in a row, in s."""
     return pause_s(
         failures,
         rng,
         _BACKOFF_FIRST_S,
-        _BACKOFF_MOST_S,
-        _BACKOFF_LEAST_SHARE,
+        _BACKOFF_MAX_S,
+        _BACKOFF_MIN_SHARE,
     )
