--- a/tests/test_config_machine.py
+++ b/tests/test_config_machine.py
@@ -1,4 +1,4 @@
-"""The configuration never reverts, and what was accepted is never lost."""
+"""A process's configuration never reverts; no accepted change is lost."""
 
 import asyncio
 import unittest
@@ -22,11 +22,11 @@
 from tests.test_membership import member
 
 PROCESSES = ('a', 'b', 'c')
-places = st.sampled_from(range(len(PROCESSES)))
+process_indexes = st.sampled_from(range(len(PROCESSES)))
 
 
-def process(vm: str, store: FakeStore) -> ConfigTask:
-    """Give a process that holds nothing yet."""
+def new_config_task(vm: str, store: FakeStore) -> ConfigTask:
+    """Return the configuration task of a process that holds nothing yet."""
     clock = FixedClock()
     rng = Random(1)
     gossip = GossipTask(
@@ -39,22 +39,22 @@
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Three processes, one service, late events and lost answers."""
+    """Three processes and one store, with late events and lost answers."""
 
     def __init__(self) -> None:
-        """Start with nothing accepted."""
+        """Start without an accepted change."""
         super().__init__()
         self.store = FakeStore()
-        self.tasks = [process(vm, self.store) for vm in PROCESSES]
+        self.tasks = [new_config_task(vm, self.store) for vm in PROCESSES]
         self.held = [0 for _ in PROCESSES]
         self.seen: list[bytes] = []
         self.accepted: dict[str, int] = {}
         self.number = 0
 
-    @rule(place=places, lose=st.booleans(), lands=st.booleans())
-    def propose(self, place: int, lose: bool, lands: bool) -> None:
-        """An operator proposes what follows from a process's own view."""
-        task = self.tasks[place]
+    @rule(index=process_indexes, lose=st.booleans(), lands=st.booleans())
+    def propose(self, index: int, lose: bool, lands: bool) -> None:
+        """An operator proposes a change based on what one process holds."""
+        task = self.tasks[index]
         self.number += 1
         operation = f'op-{self.number}'
         self.store.lose_next = lose
@@ -70,70 +70,75 @@
 
     @rule(down=st.booleans())
     def outage(self, down: bool) -> None:
-        """The service goes or comes back."""
+        """The store becomes unreachable or comes back."""
         self.store.down = down
 
-    @rule(place=places)
-    def read(self, place: int) -> None:
-        """A watcher reads the service."""
+    @rule(index=process_indexes)
+    def read(self, index: int) -> None:
+        """A watcher reads the store."""
         if self.store.down:
             return
         stored = virtual.run(self.store.get(CONFIG_KEY))
         if stored.version:
-            self.tasks[place].adopt(stored.payload)
-        self.keep(self.tasks[place])
+            self.tasks[index].adopt(stored.payload)
+        self.keep(self.tasks[index])
 
-    @rule(place=places, event=st.integers(0, 50))
-    def late_event(self, place: int, event: int) -> None:
-        """Any configuration ever seen comes again, late."""
+    @rule(index=process_indexes, event=st.integers(0, 50))
+    def late_event(self, index: int, event: int) -> None:
+        """Any earlier configuration arrives again, late."""
         if self.seen:
-            self.tasks[place].adopt(self.seen[event % len(self.seen)])
+            self.tasks[index].adopt(self.seen[event % len(self.seen)])
 
-    @rule(place=places, peer=places)
-    def from_peer(self, place: int, peer: int) -> None:
-        """A process hears from a peer, newer or older."""
+    @rule(index=process_indexes, peer=process_indexes)
+    def from_peer(self, index: int, peer: int) -> None:
+        """A process receives a newer or older configuration from a peer."""
         encoded = self.tasks[peer].encoded
         if encoded:
-            self.tasks[place].adopt(encoded)
+            self.tasks[index].adopt(encoded)
 
-    @rule(place=places, peer=places)
-    def restart(self, place: int, peer: int) -> None:
-        """A process starts anew and learns from a peer before it is ready."""
-        if place == peer:
+    @rule(index=process_indexes, peer=process_indexes)
+    def restart(self, index: int, peer: int) -> None:
+        """A process restarts and reads from a peer before it is ready."""
+        if index == peer:
             return
-        self.tasks[place] = process(PROCESSES[place], self.store)
-        self.held[place] = 0
-        self.from_peer(place, peer)
+        self.tasks[index] = new_config_task(PROCESSES[index], self.store)
+        self.held[index] = 0
+        self.from_peer(index, peer)
 
     def keep(self, task: ConfigTask) -> None:
-        """Remember every configuration that a process ever held."""
+        """Remember the configuration that a process holds."""
         if task.encoded:
             self.seen.append(task.encoded)
 
     @invariant()
     def never_reverts(self) -> None:
         """No process goes back to a lower revision."""
-        for place, task in enumerate(self.tasks):
-            assert task.current.revision >= self.held[place]
-            self.held[place] = task.current.revision
+        for index, task in enumerate(self.tasks):
+            assert task.current.revision >= self.held[index]
+            self.held[index] = task.current.revision
 
     @invariant()
     def accepted_is_never_lost(self) -> None:
-        """What an operator was told is accepted stands, in its place."""
-        entry = self.store.table.get(CONFIG_KEY, 0)
-        standing = configuration.unpack(entry.payload if entry else b'')
-        history = {one.operation_id: one.revision for one in standing.history}
-        oldest = standing.history[0].revision if standing.history else 0
+        """Every accepted change is in the history under its revision.
+
+        Only changes older than the history that is kept are exempt.
+        """
+        record = self.store.table.get(CONFIG_KEY, 0)
+        current = configuration.unpack(record.payload if record else b'')
+        history = {
+            change.operation_id: change.revision for change in current.history
+        }
+        oldest = current.history[0].revision if current.history else 0
         for operation, revision in self.accepted.items():
             assert revision < oldest or history[operation] == revision
 
     @invariant()
     def same_revision_same_text(self) -> None:
-        """Two processes never mean different things by one revision."""
-        texts: dict[int, bytes] = {}
+        """Processes with the same revision hold the same bytes."""
+        encoded_by_revision: dict[int, bytes] = {}
         for task in self.tasks:
             revision = task.current.revision
-            found = texts.setdefault(revision, task.encoded)
+            found = encoded_by_revision.setdefault(revision, task.encoded)
             assert found == task.encoded
 
 
@@ -148,24 +153,24 @@
 
 
 class WatchersTest(unittest.TestCase):
-    """A few watch, whatever the fleet's size."""
+    """A few processes watch the store, whatever the size of the fleet."""
 
     def test_number_does_not_grow(self) -> None:
-        """Two of a region watch, of thirty and of nine hundred."""
+        """Two processes of a region watch, of 30 and of 900 members."""
         for count in (30, 900):
-            members = [member(f'vm-{one}') for one in range(count)]
+            members = [member(f'vm-{number}') for number in range(count)]
             with self.subTest(count):
                 self.assertEqual(len(choose_watchers(members, 'r', [])), 2)
 
     def test_zone_on_its_own_watches_for_itself(self) -> None:
-        """Zones that are not heard from are left out."""
-        members = [member(f'vm-{one}', zone='z') for one in range(9)]
-        members += [member(f'w-{one}', zone='w') for one in range(9)]
+        """A zone that is cut off chooses watchers among its own members."""
+        members = [member(f'vm-{number}', zone='z') for number in range(9)]
+        members += [member(f'w-{number}', zone='w') for number in range(9)]
         chosen = choose_watchers(members, 'r', ['z'])
         self.assertTrue(all(vm.startswith('w-') for vm in chosen))
 
     def test_return_after_an_outage_is_spread(self) -> None:
-        """Pauses grow, are jittered and end at a minute."""
+        """Pauses grow, are jittered and last a minute at most."""
         rng = Random(1)
         pauses = [backoff_s(failures, rng) for failures in range(1, 12)]
         self.assertLess(pauses[0], 2.1)
@@ -175,13 +180,13 @@
 
 
 class LearnTest(unittest.IsolatedAsyncioTestCase):
-    """What a process holds in force."""
+    """Which configurations a process takes in."""
 
     async def test_older_is_ignored(self) -> None:
-        """An older configuration changes nothing and tells nobody."""
-        task = process('a', FakeStore())
-        told: list[Configuration] = []
-        task.add_listener(told.append)
+        """An older or equal revision is not passed to listeners."""
+        task = new_config_task('a', FakeStore())
+        received: list[Configuration] = []
+        task.add_listener(received.append)
         for revision in (2, 1, 2):
             task.adopt(
                 configuration.pack(
@@ -193,7 +198,9 @@
                 ),
             )
         await asyncio.sleep(0)
-        self.assertEqual([one.revision for one in told], [2])
+        self.assertEqual(
+            [configuration.revision for configuration in received], [2]
+        )
 
 
 if __name__ == '__main__':
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: what a change makes, and what never reverts."""
+"""Configuration changes: compare-and-swap, lost answers and validation."""
 
 import asyncio
 import unittest
@@ -24,22 +24,22 @@
 
 
 class FixedClock:
-    """Stand still."""
+    """A clock that stands still at 0."""
 
     def now(self) -> float:
-        """Give zero."""
+        """Return 0."""
         return 0
 
     def wall(self) -> float:
-        """Give zero."""
+        """Return 0."""
         return 0
 
 
 class FakeStore:
-    """Hold a table and fail as told."""
+    """A store in memory that fails as its flags say."""
 
     def __init__(self) -> None:
-        """Start up and honest."""
+        """Start reachable; lose no answer."""
         self.table = KvTable()
         self.down = False
         self.lose_next = False
@@ -57,7 +57,7 @@
         )
 
     async def swap(self, key: str, payload: bytes, expect: int) -> SwapOutcome:
-        """Swap a key, perhaps losing the answer or the write."""
+        """Swap a key; lose the answer, or the write, as set."""
         if self.down:
             raise StoreError('store-unreachable')
         lose = self.lose_next
@@ -72,21 +72,21 @@
     async def wait(
         self, key: str, after: int, wait_s: float
     ) -> StoredValue | None:
-        """Never wait."""
+        """Return at once without a change."""
         return None
 
 
 def proposal(base: int, operation: str) -> configuration.Proposal:
-    """Give a small change."""
+    """Return a proposal of a small change."""
     deployment = Deployment(models=[Model(name=operation, versions=[V1])])
     return configuration.Proposal(deployment, base, operation, 'asha', 'test')
 
 
 class ChangesTest(unittest.IsolatedAsyncioTestCase):
-    """Changes are settled, never guessed."""
+    """Verdicts on changes."""
 
     def setUp(self) -> None:
-        """Start with an empty service."""
+        """Start with an empty store."""
         self.store = FakeStore()
         self.adopted: list[bytes] = []
         self.changes = ConfigChanges(
@@ -98,42 +98,44 @@
         first = await self.changes.propose(proposal(0, 'one'))
         second = await self.changes.propose(proposal(1, 'two'))
         self.assertEqual(
-            [(one.verdict, one.revision) for one in (first, second)],
+            [(answer.verdict, answer.revision) for answer in (first, second)],
             [(Verdict.ACCEPTED, 1), (Verdict.ACCEPTED, 2)],
         )
 
     async def test_race_has_one_winner(self) -> None:
-        """The loser hears who changed what."""
+        """Of two changes on one base one is refused, naming the other."""
         answers = await asyncio.gather(
             self.changes.propose(proposal(0, 'one')),
             self.changes.propose(proposal(0, 'two')),
         )
-        verdicts = sorted(one.verdict for one in answers)
+        verdicts = sorted(answer.verdict for answer in answers)
         self.assertEqual(verdicts, [Verdict.ACCEPTED, Verdict.REFUSED])
-        loser = max(answers, key=lambda one: one.verdict)
-        self.assertEqual([one.operator_name for one in loser.since], ['asha'])
+        loser = max(answers, key=lambda answer: answer.verdict)
+        self.assertEqual(
+            [answer.operator_name for answer in loser.since], ['asha']
+        )
 
     async def test_lost_answer_is_settled_by_reading_back(self) -> None:
-        """A write that landed is reported accepted."""
+        """A write that took effect is reported accepted."""
         self.store.lose_next = True
         answer = await self.changes.propose(proposal(0, 'one'))
         self.assertEqual(answer.verdict, Verdict.ACCEPTED)
 
     async def test_lost_write_is_not_guessed(self) -> None:
-        """A write that did not land yet may still land: not known."""
+        """A write that may still take effect is reported not known."""
         self.store.lose_next = True
         self.store.lost_write_lands = False
         answer = await self.changes.propose(proposal(0, 'one'))
         self.assertEqual(answer.verdict, Verdict.NOT_KNOWN)
 
     async def test_repeated_operation_is_accepted_once(self) -> None:
-        """Asking again with the same operation id changes nothing."""
+        """Proposing again under the same operation id changes nothing."""
         await self.changes.propose(proposal(0, 'one'))
         again = await self.changes.propose(proposal(0, 'one'))
         self.assertEqual((again.verdict, again.revision), (Verdict.ACCEPTED, 1))
 
     async def test_outage_is_refused_clearly(self) -> None:
-        """Nothing is written while the service is down."""
+        """While the store is down a change is refused."""
         self.store.down = True
         answer = await self.changes.propose(proposal(0, 'one'))
         self.assertEqual(
@@ -142,7 +144,7 @@
         )
 
     async def test_settle(self) -> None:
-        """Settling tells accepted from refused, and says when it can't."""
+        """Settling returns accepted, refused, or not known during an outage."""
         await self.changes.propose(proposal(0, 'one'))
         accepted = await self.changes.settle('one')
         refused = await self.changes.settle('never')
@@ -155,10 +157,10 @@
 
 
 class RulesTest(unittest.TestCase):
-    """What is refused and what a rollout remembers."""
+    """Validation, cancelled rollouts and the size limit."""
 
-    def test_faults(self) -> None:
-        """Each contradiction is named with what is allowed."""
+    def test_validation_errors(self) -> None:
+        """Each contradiction is reported with what is allowed."""
         model = Model(
             name='m',
             versions=[V1],
@@ -185,7 +187,7 @@
                 )
 
     def test_rollout_and_cancel(self) -> None:
-        """Cancelling goes back to the version and replicas before."""
+        """Cancelling restores the previous version and replica count."""
         declared = Deployment(models=[Model(name='m', versions=[V1, V2])])
         first = configuration.with_intent(
             declared,
@@ -199,7 +201,7 @@
         self.assertEqual((back.version, back.replicas), ('v1', 3))
 
     def test_too_large_is_refused(self) -> None:
-        """A configuration over the value's limit is refused, not cut."""
+        """A configuration above the size limit of a value is refused."""
         models = [
             Model(name=f'{number}' + 'x' * 1000, versions=[])
             for number in range(1100)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who lives: silence, suspicion, death, and what is newer."""
+"""Failure detection by silence, and the order of member records."""
 
 import unittest
 from random import Random
@@ -16,7 +16,7 @@
 
 
 def member(vm: str, zone: str = 'z', **fields: int) -> Member:
-    """Give a plain statement."""
+    """Return a record of an endpoint that is alive."""
     base = Member(
         vm=vm,
         incarnation=1,
@@ -33,71 +33,71 @@
 
 
 class Fleet:
-    """Run the decisions of one zone with datagrams that take no time."""
+    """The memberships of one zone, with datagrams that take no time."""
 
     def __init__(self, count: int, loss: float = 0, seed: int = 1) -> None:
-        """Let everybody know everybody."""
+        """Start with every process knowing all others."""
         self.rng = Random(seed)
         self.loss = loss
         self.now = float()
         names = [f'vm-{number}' for number in range(count)]
-        self.nodes = {vm: Membership(member(vm), CFG, 0) for vm in names}
-        for node in self.nodes.values():
+        self.memberships = {vm: Membership(member(vm), CFG, 0) for vm in names}
+        for membership in self.memberships.values():
             for vm in names:
-                node.receive(member(vm), 0)
+                membership.receive(member(vm), 0)
         self.paused: set[str] = set()
 
     def step(self) -> None:
-        """Let a tenth of a second pass."""
+        """Let 0.1 s pass."""
         self.now += 0.1
-        for vm in sorted(self.nodes.keys() - self.paused):
-            self.turn(vm, self.nodes[vm])
+        for vm in sorted(self.memberships.keys() - self.paused):
+            self.run_process(vm, self.memberships[vm])
 
-    def turn(self, vm: str, node: Membership) -> None:
-        """Let one process do what is due."""
-        verdicts = list(node.tick(self.now))
+    def run_process(self, vm: str, membership: Membership) -> None:
+        """Let one process tick, send heartbeats and ping silent members."""
+        records = list(membership.tick(self.now))
         if round(self.now * 10) % 3 == 0:
-            for other in node.ring_neighbours(self.now).heartbeat_to:
+            for other in membership.ring_neighbours(self.now).heartbeat_to:
                 self.deliver(vm, other)
-        for silent in node.silent_members(self.now):
-            if silent.vm not in self.paused:
-                self.deliver(silent.vm, vm)
-        for verdict in verdicts:
-            self.spread(verdict)
+        for silent_member in membership.silent_members(self.now):
+            if silent_member.vm not in self.paused:
+                self.deliver(silent_member.vm, vm)
+        for record in records:
+            self.disseminate(record)
 
     def deliver(self, sender: str, target: str) -> None:
-        """Bring one sign of life, if it is not lost."""
-        if target in self.nodes and self.rng.random() >= self.loss:
-            self.nodes[target].heartbeat_received(sender, self.now)
+        """Deliver one datagram unless it is lost."""
+        if target in self.memberships and self.rng.random() >= self.loss:
+            self.memberships[target].heartbeat_received(sender, self.now)
 
-    def spread(self, statement: Member) -> None:
-        """Bring a statement to everybody, and what they answer."""
-        for vm, node in self.nodes.items():
+    def disseminate(self, record: Member) -> None:
+        """Deliver a record to all processes, and then what they refute."""
+        for vm, membership in self.memberships.items():
             if vm in self.paused:
                 continue
-            answer = node.receive(statement, self.now)
-            if answer is not None and answer.vm == vm:
-                self.spread(answer)
+            refutation = membership.receive(record, self.now)
+            if refutation is not None and refutation.vm == vm:
+                self.disseminate(refutation)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let a number of seconds pass."""
         for _ in range(round(seconds * 10)):
             self.step()
 
     def held_dead(self, vm: str) -> int:
-        """Count the processes that hold another dead."""
+        """Count the other processes that hold a VM dead."""
         return sum(
-            node.view.members[vm].status == Health.DEAD
-            for name, node in self.nodes.items()
+            membership.view.members[vm].status == Health.DEAD
+            for name, membership in self.memberships.items()
             if name != vm
         )
 
 
 class MembershipTest(unittest.TestCase):
-    """Death is found in three seconds, and nobody is buried alive."""
+    """Failed processes are found within 3 s, and no others are held dead."""
 
     def test_dead_in_three_seconds(self) -> None:
-        """Every other process holds a dead one dead in time."""
+        """Every other process holds a failed one dead after 3 s, not 2 s."""
         fleet = Fleet(ZONE)
         fleet.run(5)
         fleet.paused.add('vm-3')
@@ -107,7 +107,7 @@
         self.assertEqual(fleet.held_dead('vm-3'), ZONE - 1)
 
     def test_two_second_pause_is_survived(self) -> None:
-        """A process that was away for two seconds lives on."""
+        """A process that was paused for 2 s is not held dead."""
         for seed in range(5):
             fleet = Fleet(ZONE, loss=0.01, seed=seed)
             fleet.run(5)
@@ -118,38 +118,40 @@
             with self.subTest(seed):
                 self.assertEqual(fleet.held_dead('vm-3'), 0)
 
-    def test_loss_alone_kills_nobody(self) -> None:
-        """One datagram in a hundred lost for two minutes harms nobody."""
+    def test_loss_alone_fails_no_member(self) -> None:
+        """Losing 1% of the datagrams for 120 s leaves no member dead."""
         fleet = Fleet(ZONE, loss=0.01)
         fleet.run(120)
-        dead = sum(fleet.held_dead(vm) for vm in fleet.nodes)
+        dead = sum(fleet.held_dead(vm) for vm in fleet.memberships)
         self.assertEqual(dead, 0)
 
-    def test_paused_watcher_blames_nobody(self) -> None:
-        """A process that was itself away does not take others for dead."""
-        node = Membership(member('a'), CFG, 0)
-        node.receive(member('b'), 0)
-        node.ring_neighbours(0)
-        self.assertEqual(list(node.tick(30)), [])
+    def test_paused_watcher_suspects_no_member(self) -> None:
+        """A process that was paused itself does not suspect the others."""
+        membership = Membership(member('a'), CFG, 0)
+        membership.receive(member('b'), 0)
+        membership.ring_neighbours(0)
+        self.assertEqual(list(membership.tick(30)), [])
 
     def test_suspicion_comes_before_death(self) -> None:
-        """The statements about a silent process grow worse in order."""
-        node = Membership(member('a'), CFG, 0)
-        node.receive(member('b'), 0)
+        """A silent process becomes suspect first and dead later."""
+        membership = Membership(member('a'), CFG, 0)
+        membership.receive(member('b'), 0)
         statuses = [
-            one.status for tick in range(1, 40) for one in node.tick(tick / 10)
+            record.status
+            for tick in range(1, 40)
+            for record in membership.tick(tick / 10)
         ]
         self.assertEqual(statuses, [Health.SUSPECT, Health.DEAD])
 
-    def test_suspected_process_answers(self) -> None:
-        """A process that hears it is suspected says otherwise, louder."""
-        node = Membership(member('a'), CFG, 0)
-        answer = node.receive(member('a', status=int(Health.SUSPECT)), 0)
+    def test_suspect_process_refutes(self) -> None:
+        """A suspect process refutes with a record of a higher version."""
+        membership = Membership(member('a'), CFG, 0)
+        answer = membership.receive(member('a', status=int(Health.SUSPECT)), 0)
         assert answer is not None
         self.assertEqual((answer.version, answer.status), (2, Health.ALIVE))
 
-    def test_dead_is_raised_only_by_a_newer_statement(self) -> None:
-        """A late statement does not raise the dead; a restart does."""
+    def test_dead_is_superseded_only_by_a_newer_record(self) -> None:
+        """A late record does not supersede a dead one; a restart does."""
         view = View(member('a'))
         view.update(member('b', status=int(Health.DEAD)))
         cases = (
@@ -157,36 +159,38 @@
             (member('b', version=2), True),
             (member('b', incarnation=2), True),
         )
-        for statement, expected in cases:
-            with self.subTest(statement.version):
+        for record, expected in cases:
+            with self.subTest(record.version):
                 dead = member('b', status=int(Health.DEAD))
-                self.assertEqual(supersedes(statement, dead), expected)
+                self.assertEqual(supersedes(record, dead), expected)
 
     @settings(max_examples=60, deadline=None, derandomize=True, database=None)
     @given(st.permutations(range(8)), st.integers(0, 7))
     def test_views_agree_in_any_order(self, order: list[int], cut: int) -> None:
-        """Statements in any order, and twice, end in the same view."""
-        statements = [
+        """Records in any order, some of them twice, give the same view."""
+        records = [
             member(f'vm-{number % 3}', version=number, status=1 + number % 4)
             for number in range(8)
         ]
         first = View(member('me'))
         second = View(member('me'))
         for number in range(8):
-            first.update(statements[number])
+            first.update(records[number])
         for number in (*order, *order[:cut]):
-            second.update(statements[number])
+            second.update(records[number])
         self.assertEqual(first.buckets, second.buckets)
 
     def test_differing_buckets_only(self) -> None:
-        """Two views exchange only the parts in which they differ."""
+        """Two views exchange only the buckets in which they differ."""
         first = View(member('me'))
         second = View(member('me'))
         for number in range(100):
             first.update(member(f'vm-{number}'))
             if number != 7:
                 second.update(member(f'vm-{number}'))
-        differing = [one.vm for one in first.differing_records(second.buckets)]
+        differing = [
+            record.vm for record in first.differing_records(second.buckets)
+        ]
         self.assertIn('vm-7', differing)
         self.assertLess(len(differing), 10)
 
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -18,7 +18,7 @@
 from linnetwood.wire import frames
 from linnetwood.wire.codec import encode
 from linnetwood.wire.curldriver import CurlDriver
-from tests.test_config_machine import process
+from tests.test_config_machine import new_config_task
 from tests.test_configuration import FakeStore
 from tests.test_curldriver import HOST, Server
 from tests.test_following import RecordingSink, answer, row
@@ -178,7 +178,7 @@
         writer.close()
 
     server = await asyncio.start_server(serve, HOST, 0)
-    task = process('a', FakeStore())
+    task = new_config_task('a', FakeStore())
     await task._fetch(server.sockets[0].getsockname())
     server.close()
     return 'peer', 2, task.current.revision
