--- a/tests/test_listeners.py
+++ b/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""Which entries an endpoint process tells, and what those new need."""
+"""Subscriptions of entries to the load reports of an endpoint process."""
 
 import unittest
 
@@ -12,48 +12,50 @@
 FAR = ('10.0.0.2', 7700)
 
 
-class ListenersTest(unittest.TestCase):
-    """Follow greetings by their times and numbers."""
+class ReportSubscribersTest(unittest.TestCase):
+    """Follow subscriptions by their times and numbers."""
 
-    def test_newcomers(self) -> None:
-        """An entry is new for a while, and again after it started anew."""
-        found = ReportSubscribers(0)
+    def test_new_subscribers(self) -> None:
+        """An entry is new for 1.5 s, and again after it restarted."""
+        subscribers = ReportSubscribers(0)
         cases: tuple[tuple[str, Address, int, float, list[Address]], ...] = (
-            ('first greeting', NEAR, 1, 0.0, [NEAR]),
+            ('first subscription', NEAR, 1, 0.0, [NEAR]),
             ('a second later', NEAR, 2, 1.0, [NEAR]),
             ('no longer new', NEAR, 3, 2.0, []),
-            ('another comes', FAR, 1, 2.5, [FAR]),
-            ('it started anew', NEAR, 1, 2.6, [FAR, NEAR]),
+            ('another entry', FAR, 1, 2.5, [FAR]),
+            ('the first restarted', NEAR, 1, 2.6, [FAR, NEAR]),
         )
         for name, address, number, now, expected in cases:
             with self.subTest(name=name):
-                found.subscribe(address, ReportSubscription(number), now)
-                self.assertCountEqual(found.new_subscribers(now), expected)
-
-    def test_gone(self) -> None:
-        """Four greetings missed, and an entry is told no more."""
-        found = ReportSubscribers(0)
-        found.subscribe(NEAR, ReportSubscription(1), 0)
-        found.subscribe(FAR, ReportSubscription(1), 3)
-        found.expire(3.9)
-        self.assertCountEqual(found.addresses(), [NEAR, FAR])
-        found.expire(4.1)
-        self.assertEqual(found.addresses(), [FAR])
-
-    def test_told_all_the_while(self) -> None:
-        """The time counts from the last gap between all greetings."""
-        found = ReportSubscribers(0)
+                subscribers.subscribe(address, ReportSubscription(number), now)
+                self.assertCountEqual(
+                    subscribers.new_subscribers(now), expected
+                )
+
+    def test_expired(self) -> None:
+        """A subscription expires 4 s after it was last renewed."""
+        subscribers = ReportSubscribers(0)
+        subscribers.subscribe(NEAR, ReportSubscription(1), 0)
+        subscribers.subscribe(FAR, ReportSubscription(1), 3)
+        subscribers.expire(3.9)
+        self.assertCountEqual(subscribers.addresses(), [NEAR, FAR])
+        subscribers.expire(4.1)
+        self.assertEqual(subscribers.addresses(), [FAR])
+
+    def test_unbroken_time(self) -> None:
+        """The time counts from the last gap in which no entry renewed."""
+        subscribers = ReportSubscribers(0)
         cases = (
             ('first', NEAR, 1, 1.0, 1.0),
             ('steady', NEAR, 2, 2.0, 2.0),
-            ('one goes, another goes on', FAR, 1, 3.4, 3.4),
+            ('one stops, another goes on', FAR, 1, 3.4, 3.4),
             ('a gap', NEAR, 3, 5.0, 0.0),
             ('steady again', FAR, 2, 6.0, 1.0),
         )
         for name, address, number, now, expected in cases:
             with self.subTest(name=name):
-                found.subscribe(address, ReportSubscription(number), now)
-                self.assertEqual(found.unbroken_for_s(now), expected)
+                subscribers.subscribe(address, ReportSubscription(number), now)
+                self.assertEqual(subscribers.unbroken_for_s(now), expected)
 
 
 if __name__ == '__main__':
--- a/tests/test_peerlist.py
+++ b/tests/test_peerlist.py
@@ -1,4 +1,4 @@
-"""The list of processes beside engines is asked for when it has changed."""
+"""Endpoint processes request the list of their peers when it has changed."""
 
 import asyncio
 import unittest
@@ -20,80 +20,90 @@
 
 
 class PeerListTest(unittest.IsolatedAsyncioTestCase):
-    """Let a process hear greetings of an entry, and ask it."""
+    """Let a process receive digests of an entry and request its lists."""
 
     async def asyncSetUp(self) -> None:
-        self.teller = PeerListServer()
-        self.server = WireServer({FrameKind.PEERS_REQUEST: self.teller.serve})
+        self.list_server = PeerListServer()
+        self.server = WireServer(
+            {FrameKind.PEERS_REQUEST: self.list_server.serve}
+        )
         sockets = bind_sockets(0, HOST)
         await self.server.start(sockets)
         self.entry = sockets[0].getsockname()
         self.taken: list[dict[str, str]] = []
         self.came = asyncio.Event()
-        self.follower = PeerListClient(TcpDialler(), self.take)
+        self.list_client = PeerListClient(TcpDialler(), self.take)
 
     async def asyncTearDown(self) -> None:
-        await self.follower.close()
+        await self.list_client.close()
         await self.server.close()
 
     def take(self, zones_by_host: dict[str, str]) -> None:
-        """Keep a list that came."""
+        """Keep a received list."""
         self.taken.append(zones_by_host)
         self.came.set()
 
-    async def greeted(self, told: int, revision: int) -> None:
-        """Greet, and wait until nothing is asked any more."""
-        self.follower.digest_received(told, revision, self.entry)
+    async def pass_digest(self, digest: int, revision: int) -> None:
+        """Pass a digest to the client and wait until its request has ended."""
+        self.list_client.digest_received(digest, revision, self.entry)
         async with asyncio.timeout(GUARD_S):
-            while self.follower._fetch_task is not None:
+            while self.list_client._fetch_task is not None:
                 await asyncio.sleep(0.01)
 
-    async def test_asked_once_for_each_list(self) -> None:
-        """Greetings that name what is known cost no request."""
-        first = self.teller.update(ONE, 5)
-        await self.greeted(first, 5)
-        self.assertTrue(self.follower.is_known)
-        self.follower.digest_received(first, 6, self.entry)
-        self.assertIsNone(self.follower._fetch_task)
-        second = self.teller.update(TWO, 7)
-        await self.greeted(second, 7)
+    async def test_each_list_is_requested_once(self) -> None:
+        """A digest that is known already causes no request."""
+        first = self.list_server.update(ONE, 5)
+        await self.pass_digest(first, 5)
+        self.assertTrue(self.list_client.is_known)
+        self.list_client.digest_received(first, 6, self.entry)
+        self.assertIsNone(self.list_client._fetch_task)
+        second = self.list_server.update(TWO, 7)
+        await self.pass_digest(second, 7)
         self.assertEqual(self.taken, [ONE, TWO])
 
-    async def test_an_older_list_is_not_asked_for(self) -> None:
-        """An entry that has lost the store does not bring engines back."""
-        await self.greeted(self.teller.update(TWO, 7), 7)
-        self.follower.digest_received(self.teller.update(ONE, 5), 5, self.entry)
-        self.assertIsNone(self.follower._fetch_task)
+    async def test_an_older_list_is_not_requested(self) -> None:
+        """An entry that can't reach the store does not bring back old peers."""
+        await self.pass_digest(self.list_server.update(TWO, 7), 7)
+        self.list_client.digest_received(
+            self.list_server.update(ONE, 5), 5, self.entry
+        )
+        self.assertIsNone(self.list_client._fetch_task)
         self.assertEqual(self.taken, [TWO])
 
-    async def test_a_list_that_the_entry_has_forgotten(self) -> None:
-        """Nothing is taken; the next greeting is asked about again."""
-        self.teller.update(ONE, 5)
-        await self.greeted(list_digest(TWO), 5)
-        self.assertFalse(self.follower.is_known)
-        await self.greeted(list_digest(ONE), 5)
+    async def test_a_list_that_the_entry_has_dropped(self) -> None:
+        """Nothing is taken in; the next digest causes a new request."""
+        self.list_server.update(ONE, 5)
+        await self.pass_digest(list_digest(TWO), 5)
+        self.assertFalse(self.list_client.is_known)
+        await self.pass_digest(list_digest(ONE), 5)
         self.assertEqual(self.taken, [ONE])
 
     async def test_an_entry_that_is_gone(self) -> None:
-        """Another is asked at its greeting."""
-        told = self.teller.update(ONE, 5)
+        """After a failed request, the next digest causes a new one."""
+        digest = self.list_server.update(ONE, 5)
         entry = self.entry
         self.entry = (HOST, 1)
-        await self.greeted(told, 5)
-        self.assertFalse(self.follower.is_known)
+        await self.pass_digest(digest, 5)
+        self.assertFalse(self.list_client.is_known)
         self.entry = entry
-        await self.greeted(told, 5)
+        await self.pass_digest(digest, 5)
         self.assertEqual(self.taken, [ONE])
 
 
 class DigestTest(unittest.TestCase):
-    """Lists that differ are told apart."""
+    """Digests of lists."""
 
     def test_differs(self) -> None:
-        """By hosts and by zones, not by their order."""
+        """Digests differ by hosts and zones, not by their order."""
         moved = {'10.0.0.1': 'z2'}
         self.assertEqual(
-            len({list_digest(one) for one in ({}, ONE, TWO, moved)}), 4
+            len(
+                {
+                    list_digest(zones_by_host)
+                    for zones_by_host in ({}, ONE, TWO, moved)
+                }
+            ),
+            4,
         )
         self.assertEqual(
             list_digest(TWO), list_digest(dict(reversed(TWO.items())))
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -1,4 +1,7 @@
-"""Schema files are refused whole, naming file, line and field."""
+"""Schema files with an error are refused as a whole.
+
+The error names file, line and field.
+"""
 
 import pathlib
 import tempfile
@@ -14,22 +17,22 @@
 
 
 class SchemaTest(unittest.TestCase):
-    """Good files load; each kind of bad file is refused."""
+    """Loading of good and bad schema files."""
 
     def load(self, text: str) -> object:
-        """Load text as a file."""
+        """Load a schema file with the given text."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'd.thrift')
             path.write_text(text)
             return schema.load(str(path))
 
     def test_example_loads(self) -> None:
-        """The commented example is a good schema."""
+        """The example file loads."""
         deployment = schema.load(str(ROOT / 'examples' / 'deployment.thrift'))
         self.assertEqual(deployment.intents[0].weigh, Weigh.TIME)
 
     def test_refusals(self) -> None:
-        """Every refusal of docs/REFUSALS.md for schema files."""
+        """Each refusal that docs/REFUSALS.md lists for schema files."""
         intent = '{"model": "m", "version": "v9", "replicas": 1}'
         cases = (
             ('struct A {}', 'schema-no-deployment'),
@@ -74,7 +77,7 @@
                 self.load(text)
 
     def test_missing_file(self) -> None:
-        """A file that can't be read is named."""
+        """A file that can't be read is refused."""
         with self.assertRaisesRegex(SchemaError, 'schema-unreadable'):
             schema.load('/no/such.thrift')
 
