--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -1,4 +1,4 @@
-"""Answers that flow slowly are taken; answers that stop are given up."""
+"""Slow answers are awaited to their end; answers that stop are given up."""
 
 import asyncio
 import dataclasses
@@ -26,15 +26,15 @@
 # About the size of a configuration of 250 routes.
 LARGE = 'x' * 200000
 PIECE_EVERY_S = 0.1
-# Ends a test that hangs; nothing else depends on it.
+# Ends a test that hangs.
 GUARD_S = 60
-Asked = tuple[str, str]
+Request = tuple[str, str]
 Row = tuple[str, object, object]
 
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """One answer, how long it flows, and whether it stops for good then."""
+    """One answer, how long it flows, and whether it then stops for good."""
 
     octets: bytes
     span_s: float = 0
@@ -47,7 +47,7 @@
     reader: asyncio.StreamReader,
     writer: asyncio.StreamWriter,
 ) -> None:
-    """Send pieces of one size at a steady pace, until the caller closes."""
+    """Send pieces of one size at a steady rate until the caller closes."""
     size = -(-len(octets) // max(1, round(span_s / PIECE_EVERY_S))) or 1
     for start in range(0, len(octets), size):
         if reader.at_eof():
@@ -58,23 +58,23 @@
 
 
 class StoreStandIn(Server):
-    """A store that notes what it was asked."""
+    """A store that records the requests it gets."""
 
-    def asked(self) -> list[Asked]:
-        """Give the calls and from where each one asked."""
-        targets = [one.split(b' ')[1].decode() for one in self.requests]
-        parts = [urlsplit(one) for one in targets]
+    def received(self) -> list[Request]:
+        """Return the call and the start revision of each request."""
+        targets = [request.split(b' ')[1].decode() for request in self.requests]
+        parts = [urlsplit(request) for request in targets]
         return [
             (
-                one.path.rpartition('/')[2],
-                parse_qs(one.query).get('after_revision', [''])[0],
+                request.path.rpartition('/')[2],
+                parse_qs(request.query).get('after_revision', [''])[0],
             )
-            for one in parts
+            for request in parts
         ]
 
 
 class TricklingServer(StoreStandIn):
-    """Give each answer in its own time, then say nothing."""
+    """Give each answer at its own speed, and none to later requests."""
 
     def __init__(self, *steps: Step) -> None:
         super().__init__(self._next)
@@ -97,23 +97,23 @@
 
 
 def page(key: str, revision: int, *, has_more: bool = False) -> bytes:
-    """Give a page of one large item."""
-    said = {
+    """Return a page with one large item."""
+    content = {
         'items': [row(key, LARGE, revision)],
         'has_more': has_more,
         'timestamp': revision,
     }
-    return answer(200, said)
+    return answer(200, content)
 
 
 def change(revision: int) -> bytes:
-    """Give one large change."""
-    said = {'events': [row('k', LARGE, revision)], 'timestamp': revision}
-    return answer(200, said)
+    """Return an answer with one large change."""
+    content = {'events': [row('k', LARGE, revision)], 'timestamp': revision}
+    return answer(200, content)
 
 
-async def followed(*steps: Step) -> list[Asked]:
-    """Follow a store that gives these answers; tell what it was asked."""
+async def followed(*steps: Step) -> list[Request]:
+    """Follow a store that gives these answers; return the requests it got."""
     server = TricklingServer(*steps)
     driver = CurlDriver()
     store = PlatformStore((HOST, await server.start()), driver)
@@ -124,18 +124,18 @@
     await follower.close()
     driver.close()
     await server.close()
-    return server.asked()
+    return server.received()
 
 
 async def slow_changes() -> Row:
-    """Answer a wait for longer than the wait and its slack."""
+    """Send an answer for longer than its wait and the slack on it."""
     expected = [('kv-range', ''), ('kv-watch', '1'), ('kv-watch', '2')]
     found = await followed(Step(page('k', 1)), Step(change(2), 3.5))
     return 'changes', expected, found
 
 
 async def slow_page() -> Row:
-    """Answer with a second page that flows for longer than is allowed."""
+    """Send a second page for longer than the timeout of a read."""
     expected = [('kv-range', ''), ('kv-range', 'a'), ('kv-watch', '1')]
     first = page('a', 1, has_more=True)
     found = await followed(Step(first), Step(page('b', 1), 3))
@@ -143,10 +143,10 @@
 
 
 async def slow_manifest() -> Row:
-    """Answer with the digests of many chunks."""
+    """Send the digests of many chunks slowly."""
     digests = ['00' * 32] * 4000
-    said = answer(200, {'digests': digests, 'chunk_bytes': 1})
-    server = TricklingServer(Step(said, 2))
+    content = answer(200, {'digests': digests, 'chunk_bytes': 1})
+    server = TricklingServer(Step(content, 2))
     driver = CurlDriver()
     origin = PlatformOrigin(driver)
     origin.address = (HOST, await server.start())
@@ -161,7 +161,7 @@
 
 
 async def slow_peer() -> Row:
-    """Answer a peer's request with a large configuration."""
+    """Send a large configuration slowly to a peer that requests it."""
     large = schema.Change(2, 'a', 'b', 1, LARGE)
     packed = configuration.pack(
         schema.Configuration(2, schema.Deployment(), [large]),
@@ -196,14 +196,14 @@
 
 
 class SharedLink:
-    """Let all answers share one rate, a piece of each in turn."""
+    """A link whose rate all answers share, one piece of each in turn."""
 
     def __init__(self) -> None:
         self.sent = 0
         self._free_at = float()
 
     async def send(self, size: int) -> None:
-        """Wait for the time that so many bytes take on the link."""
+        """Wait for as long as a number of bytes takes on the link."""
         loop = asyncio.get_running_loop()
         begin = max(self._free_at, loop.time())
         self._free_at = begin + size / LINK_BYTES_PER_S
@@ -212,7 +212,7 @@
 
 
 class FarStore(StoreStandIn):
-    """Hold one key, and write it three times while the link is busy."""
+    """Hold one key and write it 3 times while the link is busy."""
 
     def __init__(self) -> None:
         super().__init__(self._answer)
@@ -222,7 +222,7 @@
 
     @property
     def revision(self) -> int:
-        """Give the revision that was written last."""
+        """Return the revision that was written last."""
         if not self.storm.is_set():
             return 1
         quarter = FOLLOWERS * ANSWER_BYTES // 4
@@ -244,14 +244,14 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        call, place = self.asked()[-1]
+        call, after = self.received()[-1]
         if call == 'kv-range':
             items = [row('k', 'x', 1)]
-            said = {'items': items, 'has_more': False, 'timestamp': 1}
-            writer.write(answer(200, said))
+            content = {'items': items, 'has_more': False, 'timestamp': 1}
+            writer.write(answer(200, content))
             return
         await self.storm.wait()
-        octets = self._since(int(place))
+        octets = self._since(int(after))
         for start in range(0, len(octets), LINK_PIECE):
             if reader.at_eof():
                 return
@@ -263,53 +263,58 @@
             await reader.read()
 
     def _since(self, after: int) -> bytes:
-        """Give all that was written since, or nothing if nothing was."""
+        """Return an answer with all later changes, or no bytes if none."""
         newest = self.revision
         text = 'x' * VALUE_BYTES
-        events = [row('k', text, one) for one in range(after + 1, newest + 1)]
+        events = [
+            row('k', text, revision)
+            for revision in range(after + 1, newest + 1)
+        ]
         if not events:
             return b''
         return answer(200, {'events': events, 'timestamp': newest})
 
 
 class ShortWaits:
-    """Wait for changes for less time than a follower asks for."""
+    """A store whose waits end before the time that a follower requests."""
 
     def __init__(self, store: PlatformStore) -> None:
         self._store = store
 
     async def read(self, prefix: str) -> Snapshot:
-        """Read as asked."""
+        """Read the range."""
         return await self._store.read(prefix)
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for a tenth of the time."""
+        """Wait for a tenth of the requested time."""
         return await self._store.wait(prefix, after, wait_s / 10)
 
 
 class Newest:
-    """A sink that keeps the newest revision alone."""
+    """A sink that keeps only the newest revision."""
 
     def __init__(self) -> None:
         self.revision = 0
 
     def replace_all(self, found: Snapshot) -> None:
-        self.revision = max(one.revision for one in found.records.values())
+        self.revision = max(
+            record.revision for record in found.records.values()
+        )
 
     def apply_changes(self, changes: tuple[Change, ...]) -> None:
-        for one in changes:
-            if one.record is not None:
-                self.revision = max(self.revision, one.record.revision)
+        for change in changes:
+            if change.record is not None:
+                self.revision = max(self.revision, change.record.revision)
 
     def mark_unreachable(self) -> None:
         """Keep what there is."""
 
 
 class SlowLinkTest(unittest.IsolatedAsyncioTestCase):
-    """Follow a store, an origin and a peer over a link that is slow."""
+    """Follow a store, an origin and a peer over a slow link."""
 
-    async def test_what_flows_is_taken_at_the_first_try(self) -> None:
-        """However long an answer flows, it is not asked for again."""
+    async def test_a_slow_answer_is_taken_at_the_first_try(self) -> None:
+        """An answer that takes long is not requested again."""
         rows = await asyncio.gather(
             slow_changes(),
             slow_page(),
@@ -322,11 +327,11 @@
             {name: expected for name, expected, _ in rows},
         )
 
-    async def test_a_handshake_that_takes_long_is_waited_for(self) -> None:
-        """A lost packet, or a queue of a second, costs no try of its own.
+    async def test_a_slow_handshake_is_awaited(self) -> None:
+        """A handshake that takes 1 s does not cause a second attempt.
 
         The queue of new connections is full at first, so the first packet is
-        dropped, and the kernel sends it again after a second.
+        dropped, and the kernel sends it again after 1 s.
         """
         body = {'items': [], 'has_more': False, 'timestamp': 7}
         listener = socket.create_server((HOST, 0), backlog=0)
@@ -334,7 +339,7 @@
         address = listener.getsockname()
         filling = socket.create_connection(address)
         driver = CurlDriver()
-        asking = asyncio.create_task(PlatformStore(address, driver).read(''))
+        reading = asyncio.create_task(PlatformStore(address, driver).read(''))
         loop = asyncio.get_running_loop()
         await asyncio.sleep(0.5)
         (await loop.sock_accept(listener))[0].close()
@@ -342,15 +347,16 @@
             accepted, _ = await loop.sock_accept(listener)
             await loop.sock_recv(accepted, 1000)
             await loop.sock_sendall(accepted, answer(200, body))
-            self.assertEqual((await asking).revision, 7)
-        for one in (accepted, filling, listener):
-            one.close()
+            self.assertEqual((await reading).revision, 7)
+        for sock in (accepted, filling, listener):
+            sock.close()
         driver.close()
 
     async def test_all_that_share_a_link_reach_the_newest(self) -> None:
-        """Three configurations reach everybody for little more than once each.
+        """Three configurations take little more than one copy per follower.
 
-        The bound is in bytes of the link, so it holds on a busy machine.
+        The bound is in bytes of the link, so it also holds when the test runs
+        slowly.
         """
         server = FarStore()
         driver = CurlDriver()
@@ -360,17 +366,19 @@
             RangeFollower(store, '', sink, Random(seed))
             for seed, sink in enumerate(sinks)
         ]
-        for one in tasks:
-            one.start()
+        for following in tasks:
+            following.start()
         async with asyncio.timeout(GUARD_S):
-            await asyncio.gather(*(one.synced.wait() for one in tasks))
+            await asyncio.gather(
+                *(following.synced.wait() for following in tasks)
+            )
             server.storm.set()
             while server.link.sent < ALLOWED_BYTES:
                 if all(sink.revision == NEWEST for sink in sinks):
                     break
                 await asyncio.sleep(PIECE_EVERY_S)
-        for one in tasks:
-            await one.close()
+        for following in tasks:
+            await following.close()
         driver.close()
         while server.answering:
             await asyncio.sleep(0)
@@ -380,15 +388,15 @@
             [NEWEST] * FOLLOWERS,
         )
 
-    async def test_what_stops_is_asked_for_again(self) -> None:
-        """An answer that stops anywhere doesn't hold a follower for ever."""
+    async def test_an_answer_that_stops_is_requested_again(self) -> None:
+        """An answer that stops at any point does not block a follower."""
         whole = change(2)
         halves = {
             'nothing': b'',
             'half a head': whole[:20],
             'half a body': whole[: len(whole) // 2],
         }
-        asked = await asyncio.gather(
+        requests = await asyncio.gather(
             *(
                 followed(Step(page('k', 1)), Step(half, stops=True))
                 for half in halves.values()
@@ -396,11 +404,11 @@
             followed(Step(page('k', 1)[:1000], stops=True)),
         )
         again = [('kv-range', ''), ('kv-watch', '1'), ('kv-watch', '1')]
-        for name, found in zip(halves, asked, strict=False):
+        for name, found in zip(halves, requests, strict=False):
             with self.subTest(sent=name):
                 self.assertEqual(found, again)
         with self.subTest(sent='half a page'):
-            self.assertEqual(asked[-1], again[:1] * 2)
+            self.assertEqual(requests[-1], again[:1] * 2)
 
 
 if __name__ == '__main__':
--- a/tests/test_wanted.py
+++ b/tests/test_wanted.py
@@ -1,4 +1,4 @@
-"""Named versions: what to bring next, and what a call may still start on."""
+"""Named versions: what to load next, and what calls may still start on."""
 
 import unittest
 
@@ -15,18 +15,18 @@
 
 
 def named(*rows: tuple[int, float]) -> WantedVersions:
-    """Give versions of one model, named at times."""
+    """Return versions of one model, each named at a time."""
     wanted = WantedVersions(BOUND_S)
-    for version, since in rows:
-        wanted.add_named('m', version, since)
+    for version, named_at in rows:
+        wanted.add_named('m', version, named_at)
     return wanted
 
 
 class WantedTest(unittest.TestCase):
-    """Decide by versions and times alone."""
+    """Decisions by versions and times."""
 
     def test_each_version_has_its_own_bound(self) -> None:
-        """A newer version does not put off the bound of an older one."""
+        """A newer version does not extend the bound of an older one."""
         wanted = named((2, 18.0), (3, 20.0))
         due = 18.0 + BOUND_S - SEND_MARGIN_S
         cases = (
@@ -40,8 +40,8 @@
                 self.assertEqual(wanted.oldest_allowed('m', now), expected)
         self.assertEqual(wanted.oldest_allowed('other', 99), 0)
 
-    def test_a_guess_gives_way_to_what_others_saw(self) -> None:
-        """An entry that came late must not shorten anybody's bound."""
+    def test_a_seen_time_replaces_a_guess(self) -> None:
+        """An entry that starts late must not shorten the bound of others."""
         cases = (
             ('guess alone', ((15.0, True),), 15.0),
             ('guess, then seen', ((15.0, True), (18.0, False)), 18.0),
@@ -49,74 +49,74 @@
             ('two guesses', ((16.0, True), (15.0, True)), 15.0),
             ('two saw it', ((18.2, False), (18.0, False)), 18.0),
         )
-        for name, told, expected in cases:
+        for name, times, expected in cases:
             with self.subTest(name=name):
                 wanted = WantedVersions(BOUND_S)
-                for since, guessed in told:
-                    wanted.add_named('m', 2, since, guessed=guessed)
+                for named_at, guessed in times:
+                    wanted.add_named('m', 2, named_at, guessed=guessed)
                 cutoff = wanted.cutoff('m', 2)
                 self.assertEqual(cutoff, expected + BOUND_S - SEND_MARGIN_S)
 
-    def test_a_guess_is_told_as_one(self) -> None:
-        """Whoever hears it keeps what was seen."""
+    def test_a_guess_is_sent_as_a_guess(self) -> None:
+        """A process that receives a guess keeps the time that it saw."""
         late = WantedVersions(BOUND_S)
         late.add_named('m', 2, 15.0, guessed=True)
-        there = named((2, 18.0))
-        there.apply_messages(late.to_messages('s', ['m'], 20.0), 20.0)
-        late.apply_messages(there.to_messages('', ['m'], 20.0), 20.0)
+        receiver = named((2, 18.0))
+        receiver.apply_messages(late.to_messages('s', ['m'], 20.0), 20.0)
+        late.apply_messages(receiver.to_messages('', ['m'], 20.0), 20.0)
         cutoff = 18.0 + BOUND_S - SEND_MARGIN_S
-        self.assertEqual(there.cutoff('m', 2), cutoff)
+        self.assertEqual(receiver.cutoff('m', 2), cutoff)
         self.assertEqual(late.cutoff('m', 2), cutoff)
 
-    def test_a_guess_of_what_nobody_saw_before_is_news(self) -> None:
-        """Told by entries all along, a process knows that it is new."""
+    def test_a_guess_about_an_unknown_version_is_recent(self) -> None:
+        """A steady process takes a version it never heard of as just named."""
         late = WantedVersions(BOUND_S)
         late.add_named('m', 2, 26.0 - BOUND_S / 2, guessed=True)
-        told = late.to_messages('s', ['m'], 26.0)
+        messages = late.to_messages('s', ['m'], 26.0)
         cases = (
-            ('new to a steady one', named(), True, 25.0),
-            ('new to one that just came', named(), False, 22.0),
+            ('new to a steady process', named(), True, 25.0),
+            ('new to a process that just started', named(), False, 22.0),
             ('seen before', named((2, 20.0)), True, 20.0),
         )
-        for name, there, steady, expected in cases:
+        for name, receiver, steady, expected in cases:
             with self.subTest(name=name):
-                there.apply_messages(told, 26.0, steady=steady)
-                cutoff = there.cutoff('m', 2)
+                receiver.apply_messages(messages, 26.0, steady=steady)
+                cutoff = receiver.cutoff('m', 2)
                 self.assertEqual(cutoff, expected + BOUND_S - SEND_MARGIN_S)
 
-    def test_a_call_begins_before_the_first_newer_bound(self) -> None:
-        """What waits at an old version is taken back in time."""
+    def test_a_call_starts_before_the_first_newer_bound(self) -> None:
+        """A call that waits at an old version is cancelled in time."""
         wanted = named((2, 18.0), (3, 20.0))
         cases = ((1, 18.0), (2, 20.0), (3, float('inf')))
-        for version, since in cases:
+        for version, named_at in cases:
             with self.subTest(version=version):
                 self.assertEqual(
                     wanted.start_deadline('m', version),
-                    since + BOUND_S - START_MARGIN_S,
+                    named_at + BOUND_S - START_MARGIN_S,
                 )
 
     def test_a_call_slow_to_arrive_is_within_the_bound(self) -> None:
-        """Over a narrow link it arrives more than a second after it left."""
+        """Over a slow link a call may take 1.15 s to arrive."""
         wanted = named((2, 18.0))
-        on_the_way_s = 1.15
+        in_transit_s = 1.15
         bound = 18.0 + BOUND_S
         last_sent = next(
             step / 100
             for step in range(1800, 2600)
             if wanted.oldest_allowed('m', step / 100)
         )
-        self.assertLess(last_sent + on_the_way_s, bound)
-        taken_back = wanted.start_deadline('m', 1)
-        self.assertLess(taken_back + on_the_way_s / 2, bound)
+        self.assertLess(last_sent + in_transit_s, bound)
+        cancelled_at = wanted.start_deadline('m', 1)
+        self.assertLess(cancelled_at + in_transit_s / 2, bound)
 
     def test_older_version_first_where_the_newer_comes_late(self) -> None:
-        """Both ways are weighed by when calls would find no engine."""
+        """The order that leaves calls without an engine for less time wins."""
         cases = (
             ('soon after', (2, 18.0), (3, 20.0), 1, 6.0, 20.0, 3),
             ('long after', (2, 20.0), (3, 24.0), 1, 6.0, 24.0, 2),
-            ('narrow links', (2, 20.0), (3, 24.0), 1, 7.2, 24.0, 3),
+            ('slow links', (2, 20.0), (3, 24.0), 1, 7.2, 24.0, 3),
             ('served already', (2, 20.0), (3, 24.0), 2, 6.0, 27.0, 3),
-            ('hopeless', (2, 0.0), (3, 24.0), 1, 6.0, 24.0, 3),
+            ('too late', (2, 0.0), (3, 24.0), 1, 6.0, 24.0, 3),
         )
         for name, old, new, serving, transfer_s, now, expected in cases:
             with self.subTest(name=name):
@@ -124,29 +124,29 @@
                 aim = wanted.next_target('m', serving, transfer_s, now)
                 self.assertEqual(aim, expected)
 
-    def test_serving_version_goes_to_empty_engines(self) -> None:
-        """A version that serves and was never named is wanted too."""
+    def test_serving_version_is_loaded_on_empty_engines(self) -> None:
+        """A version that serves but was never named is wanted, too."""
         wanted = WantedVersions(BOUND_S)
         wanted.add_serving([('m', 1)])
         self.assertEqual(wanted.next_target('m', 0, TRANSFER_S, 5.0), 1)
         self.assertEqual(wanted.oldest_allowed('m', 100.0), 0)
 
-    def test_what_is_told_is_learned(self) -> None:
-        """Another process knows the same versions and bounds."""
+    def test_messages_carry_versions_and_bounds(self) -> None:
+        """A process that receives them knows the same versions and bounds."""
         wanted = named((2, 18.0), (3, 20.0))
         wanted.add_serving([('m', 1)])
-        rows = wanted.to_messages('pool', ['m'], 21.0)
+        messages = wanted.to_messages('pool', ['m'], 21.0)
         self.assertEqual(
-            [(row.version, row.age_ms) for row in rows],
+            [(message.version, message.age_ms) for message in messages],
             [(1, NOT_NAMED), (2, 3000), (3, 1000)],
         )
         other = WantedVersions(BOUND_S)
-        other.apply_messages(rows, 121.0)
+        other.apply_messages(messages, 121.0)
         self.assertEqual(other.oldest_allowed('m', 118.0 + BOUND_S), 2)
         self.assertEqual(other.newest('m'), 3)
 
-    def test_earliest_word_of_a_version_counts(self) -> None:
-        """A process that came later learns the true age from others."""
+    def test_the_earliest_time_of_a_version_counts(self) -> None:
+        """A process that saw a version late learns its true age from others."""
         wanted = named((2, 30.0))
         wanted.apply_messages([WantedWeights('pool', 'm', 2, 5000)], 31.0)
         self.assertEqual(wanted.oldest_allowed('m', 26.0 + BOUND_S), 2)
