--- a/src/linnetwood/fleet/runtime.py
+++ b/src/linnetwood/fleet/runtime.py
@@ -17,12 +17,12 @@
 from linnetwood.core.options import Gossiping, Place, Platform, Watching
 from linnetwood.core.traces import Tracer, open_traces
 from linnetwood.core.trust import Keys
+from linnetwood.fleet.configtask import ConfigTask
 from linnetwood.fleet.gossip import GossipTask
 from linnetwood.fleet.members import Health
 from linnetwood.fleet.membership import Membership
 from linnetwood.fleet.store import HttpKeyValue
 from linnetwood.fleet.vmlist import HttpVmList, VmListTask
-from linnetwood.fleet.watching import ConfigTask
 from linnetwood.gen.wire.ttypes import ConfigRequest, Member
 from linnetwood.wire import codec
 from linnetwood.wire.connections import (
--- a/src/linnetwood/fleet/schema.py
+++ b/src/linnetwood/fleet/schema.py
@@ -14,7 +14,7 @@
 
 from linnetwood.core.errors import SchemaError
 from linnetwood.fleet import configuration
-from linnetwood.fleet.tokens import ConstantParser, ValueTree
+from linnetwood.fleet.constantparser import ConstantParser, ValueTree
 from linnetwood.gen.schema.ttypes import Deployment, Weigh
 
 IDL_FOLDER = pathlib.Path(__file__).parent.parent / 'idl'
--- a/src/linnetwood/fleet/vmlist.py
+++ b/src/linnetwood/fleet/vmlist.py
@@ -11,9 +11,9 @@
 from linnetwood.core.errors import StoreError
 from linnetwood.core.events import Event, log
 from linnetwood.core.owner import Owner
+from linnetwood.fleet.configtask import backoff_s
 from linnetwood.fleet.gossip import GossipTask
 from linnetwood.fleet.members import Health, copy
-from linnetwood.fleet.watching import backoff_s
 from linnetwood.gen.wire.ttypes import Member
 from linnetwood.wire.http import fetch
 
--- a/src/linnetwood/programs/operators.py
+++ b/src/linnetwood/programs/operators.py
@@ -16,7 +16,7 @@
 from linnetwood.core.sizes import MIB
 from linnetwood.core.trust import OPERATE, READ, Operator, operator_of
 from linnetwood.fleet import configuration as rules
-from linnetwood.fleet.changes import ConfigChanges
+from linnetwood.fleet.configchanges import ConfigChanges
 from linnetwood.fleet.configuration import Proposal
 from linnetwood.fleet.members import ENDPOINT, ENTRY, Health, accepts_work
 from linnetwood.fleet.progress import Instant, RolloutProgress
--- a/tests/test_config_machine.py
+++ b/tests/test_config_machine.py
@@ -10,11 +10,11 @@
 
 from linnetwood.core.options import Gossiping
 from linnetwood.fleet import configuration
-from linnetwood.fleet.changes import ConfigChanges
+from linnetwood.fleet.configchanges import ConfigChanges
+from linnetwood.fleet.configtask import ConfigTask, backoff_s, choose_watchers
 from linnetwood.fleet.configuration import CONFIG_KEY
 from linnetwood.fleet.gossip import GossipTask
 from linnetwood.fleet.membership import Membership
-from linnetwood.fleet.watching import ConfigTask, backoff_s, choose_watchers
 from linnetwood.gen.schema.ttypes import Answer, Configuration, Verdict
 from linnetwood.lab import virtual
 from linnetwood.wire.connections import TcpDialler
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -5,7 +5,7 @@
 
 from linnetwood.core.errors import ConfigError, StoreAnswerLostError, StoreError
 from linnetwood.fleet import configuration
-from linnetwood.fleet.changes import ConfigChanges
+from linnetwood.fleet.configchanges import ConfigChanges
 from linnetwood.fleet.kvtable import KvTable
 from linnetwood.fleet.store import StoredValue, SwapOutcome
 from linnetwood.gen.schema.ttypes import (
