--- a/tests/test_bound_budget.py
+++ b/tests/test_bound_budget.py
@@ -37,7 +37,7 @@
 RECOVERY_S = 3.0
 # The store's client waits this long for the first byte of a read.
 READ_FIRST_S = 2.5
-# It waits for an answer this much longer than the wait that it requested.
+# For the answer to a wait, it allows this much more than the wait itself.
 SLACK_S = 2.0
 
 
@@ -214,14 +214,14 @@
         self.assertLess(longest_s, APPLY_S)
 
     def test_a_request_that_hangs_after_a_turn_leaves_time(self) -> None:
-        """The age of the entry's view counts for when a second request is due.
+        """A second request is due earlier, the older the entry's view is.
 
         Neighbours relay changes to an entry for a while, its own connection to
         the store falls silent unused, and then the neighbours end. If the
-        second request is due after a share of the bound that leaves out the
-        time for which a neighbour was trusted and the entry's turn, a change
-        is 2.0 s late, or 2.5 s where an answer flowed to the neighbour; 2 s
-        are allowed. This was seen in virtual time only.
+        second request became due after a fixed share of the bound, without
+        counting how long a neighbour was trusted and how long the turn took, a
+        change would be 2.0 s late, or 2.5 s where an answer flowed to the
+        neighbour; 2 s are allowed. This was seen in virtual time only.
         """
         for flows in (False, True):
             with self.subTest(flows=flows):
@@ -242,7 +242,7 @@
                 request.cancel()
             await asyncio.gather(*requests, return_exceptions=True)
             begun = driver.begin.call_args_list
-            return [request.args[0].keep for request in begun]
+            return [call.args[0].keep for call in begun]
 
         self.assertEqual(virtual.run(play()), [True, False])
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -112,7 +112,7 @@
         self.assertEqual(verdicts, [Verdict.ACCEPTED, Verdict.REFUSED])
         loser = max(answers, key=lambda answer: answer.verdict)
         self.assertEqual(
-            [answer.operator_name for answer in loser.since], ['asha']
+            [change.operator_name for change in loser.since], ['asha']
         )
 
     async def test_lost_answer_is_settled_by_reading_back(self) -> None:
--- a/tests/test_wanted.py
+++ b/tests/test_wanted.py
@@ -121,8 +121,8 @@
         for name, old, new, serving, transfer_s, now, expected in cases:
             with self.subTest(name=name):
                 wanted = named(old, new)
-                aim = wanted.next_target('m', serving, transfer_s, now)
-                self.assertEqual(aim, expected)
+                target = wanted.next_target('m', serving, transfer_s, now)
+                self.assertEqual(target, expected)
 
     def test_serving_version_is_loaded_on_empty_engines(self) -> None:
         """A version that serves but was never named is wanted, too."""
