--- a/tests/test_belief_seeds.py
+++ b/tests/test_belief_seeds.py
@@ -45,7 +45,7 @@
 Scenario = Callable[['FaultyRegions', Random], Awaitable[None]]
 
 
-class TimeoutHandle(zones.StoreLink):
+class TimeoutLink(zones.StoreLink):
     """A link to a store that may be unreachable, with the client's timeouts."""
 
     async def read(self, prefix: str) -> Snapshot:
@@ -80,12 +80,12 @@
         notify = self.on_bytes
         deadline = loop.time() + first_s
 
-        def heard() -> None:
+        def extend_deadline() -> None:
             nonlocal deadline  # noqa: WPS420
             deadline = loop.time() + SILENT_S
             notify()
 
-        self.on_bytes = heard
+        self.on_bytes = extend_deadline
         try:
             while not task.done():
                 await asyncio.wait((task,), timeout=deadline - loop.time())
@@ -187,7 +187,7 @@
 
     def __init__(self, routes: int) -> None:
         with (
-            mock.patch.object(zones, 'StoreLink', TimeoutHandle),
+            mock.patch.object(zones, 'StoreLink', TimeoutLink),
             mock.patch.object(regions, 'RegionStore', FaultyStore),
             mock.patch.object(regions, 'RegionNet', FaultyNet),
             mock.patch.object(regions, 'Links', FullLinks),
@@ -247,7 +247,7 @@
         now = asyncio.get_running_loop().time()
         for entry in ended:
             self.restarted_at[entry.name] = now
-            with mock.patch.object(zones, 'StoreLink', TimeoutHandle):
+            with mock.patch.object(zones, 'StoreLink', TimeoutLink):
                 self.add(entry.name).start()
 
     async def _watch_all(self) -> None:
--- a/tests/test_bound_budget.py
+++ b/tests/test_bound_budget.py
@@ -48,11 +48,11 @@
     arrives `begins_at_s` after it.
     """
     store = zones.FarStore()
-    handle = zones.StoreLink(store, 'me')
+    link = zones.StoreLink(store, 'me')
     sink = zones.NewestSink()
-    follower = RangeFollower(handle, '', sink, Random(1), bounds_for(APPLY_S))
-    handle.on_bytes = follower.note_bytes
-    # Many entries take their turn before this one.
+    follower = RangeFollower(link, '', sink, Random(1), bounds_for(APPLY_S))
+    link.on_bytes = follower.note_bytes
+    # Many entries request the change before this one does.
     follower.stagger_position = 10
     follower.start()
     await asyncio.sleep(1)
@@ -174,7 +174,7 @@
     store = HungStore()
     bounds = bounds_for(APPLY_S)
     follower = RangeFollower(store, '', RecordingSink(), Random(5), bounds)
-    # Many entries take their turn before this one.
+    # Many entries request the change before this one does.
     follower.stagger_position = 10
     follower.start()
     await asyncio.sleep(0.5)
--- a/tests/test_slow_links.py
+++ b/tests/test_slow_links.py
@@ -366,19 +366,19 @@
             RangeFollower(store, '', sink, Random(seed))
             for seed, sink in enumerate(sinks)
         ]
-        for following in tasks:
-            following.start()
+        for follower in tasks:
+            follower.start()
         async with asyncio.timeout(GUARD_S):
             await asyncio.gather(
-                *(following.synced.wait() for following in tasks)
+                *(follower.synced.wait() for follower in tasks)
             )
             server.storm.set()
             while server.link.sent < ALLOWED_BYTES:
                 if all(sink.revision == NEWEST for sink in sinks):
                     break
                 await asyncio.sleep(PIECE_EVERY_S)
-        for following in tasks:
-            await following.close()
+        for follower in tasks:
+            await follower.close()
         driver.close()
         while server.answering:
             await asyncio.sleep(0)
