--- a/src/linnetwood/fleet/freshness.py
+++ b/src/linnetwood/fleet/freshness.py
@@ -1,41 +1,43 @@
-"""How old a neighbour's word of a range may be; no I/O or clock."""
+"""Limits on the age of an entry's view of a range; no I/O or clock."""
 
 import dataclasses
 import math
 
 from linnetwood.fleet.ranges import Change
 
-# Parts of the time within which a configuration must be in force. A wait and
-# a fresh belief's age leave more than half of it for asking directly; an answer
-# that flows to the neighbour is waited for a little longer, since as many
-# copies over the same link would take as many times as long. What is fresh,
-# what flows then and the turn after that follow each other; a fifth is left.
+# Shares of the time within which a configuration must be in force. A wait and
+# the maximum age each leave more than half of it for a direct request. Entries
+# wait a little longer for an answer that their relay is receiving, since many
+# copies over the same link take many times as long. The maximum age, the
+# receiving time and the stagger add up; a fifth of the bound is left then.
 _WAIT_SHARE = 0.3
 _MAX_AGE_SHARE = 0.4
 _MAX_RECEIVING_SHARE = 0.25
-# Changes that come in a crowd are fetched together: each call is paid for, and
-# told on to every neighbour. A twentieth of the bound is 0.1 to 0.2 s.
+# Changes in quick succession are fetched together, because each store call
+# costs money and each change is relayed to every subscriber. A twentieth of
+# the bound is 0.1 to 0.2 s.
 _BATCH_DELAY_SHARE = 0.05
-# Where all that a zone hears are out of touch, its entries ask one after the
-# other. The last one's belief is then 0.55 of the bound old, 0.8 if an answer
-# flowed meanwhile, and its answer has the rest.
+# Where all relays of a zone are out of touch, its entries send their requests
+# one after the other. The last one's view is then 0.55 of the bound old, 0.8 if
+# a relay was receiving an answer meanwhile; its own answer has the rest.
 _MAX_STAGGER_SHARE = 0.15
-# A wait that is so much late gets a second one beside it. Answers are late by
-# less on links that are full.
+# A wait whose answer is overdue by this share gets a second request beside it.
+# Answers on full links are late by less.
 _HEDGE_DELAY_SHARE = 0.4
-# Trust and a turn take their part first: the second one is asked for by this
-# age of the belief, or after the least lateness, so that both fit the bound.
+# The maximum age and the stagger come first: the second request is sent at the
+# latest at this age of the view, or after the minimum delay, so that both
+# requests fit the bound.
 _HEDGE_BY_AGE_SHARE = 0.8
 _MIN_HEDGE_DELAY_SHARE = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayedUpdate:
-    """What a neighbour tells: changes up to a revision, or the whole range.
+    """Changes up to a revision, or the whole range, as a relay sends them.
 
-    Ages are in seconds, infinity for never: since it knew that it knew all,
-    since it last got a byte from the store, and since the answer began of
-    which that byte is a part.
+    Ages are in seconds, infinity for never: since the relay's view was last
+    confirmed, since it last received a byte from the store, and since it
+    received the first byte of that same answer.
     """
 
     revision: int
@@ -45,18 +47,21 @@
     outages: int
     whole: bool
     changes: tuple[Change, ...]
-    # Whom of its own zone a teller of another zone names in its place.
+    # Hosts of its own zone that a relay of another zone names in its place.
     preferred: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FreshnessBounds:
-    """How long waits last, and how old a neighbour's word may be; seconds.
-
-    After a change others are gathered for so long before the next call; an
-    entry waits for so long at most while those before it ask; and an answer is
-    late by so much when it is asked for once more: by less, to a least, where
-    the belief would be older than asked_s by then.
+    """Limits on waits and on the ages of relayed updates, in seconds.
+
+    wait_s limits a wait at the store, max_age_s the age of a view that is
+    trusted, and max_receiving_s the time for which a relay may be receiving an
+    answer. After a change, batch_delay_s passes before the next call, so that
+    further changes come with it. max_stagger_s limits the wait for entries that
+    send their requests first. A request whose answer is overdue by
+    hedge_delay_s is sent once more. That happens sooner, but not before
+    min_hedge_delay_s, where the view would be older than hedge_by_age_s then.
     """
 
     wait_s: float = 2
@@ -69,20 +74,23 @@
     hedge_by_age_s: float = math.inf
 
     def fresh_for_s(self, update: RelayedUpdate) -> float:
-        """Give for how long what is told stays fresh; negative if it is old."""
+        """Return the seconds for which an update is fresh; negative if old."""
         return self.max_age_s - update.age_s
 
     def receiving_for_s(self, update: RelayedUpdate) -> float:
-        """Give for how long an answer that flows is worth waiting for."""
+        """Return how long to wait for the answer that the relay receives."""
         return min(
             self.max_age_s - update.last_byte_age_s,
             self.max_receiving_s - update.first_byte_age_s,
         )
 
     def hedge_delay_at_s(self, age_s: float) -> float:
-        """Give how late an answer may be that is due at this belief's age."""
+        """Return by how much an answer due at this age of the view may be late.
+
+        Later than that, the request is sent a second time.
+        """
         if age_s > self.hedge_by_age_s + self.min_hedge_delay_s:
-            # Nothing comes in time any more; a second call would only cost.
+            # No answer can come in time; a second call would only cost money.
             return self.hedge_delay_s
         left_s = max(self.min_hedge_delay_s, self.hedge_by_age_s - age_s)
         return min(self.hedge_delay_s, left_s)
@@ -92,7 +100,7 @@
 
 
 def bounds_for(apply_s: float) -> FreshnessBounds:
-    """Give the bounds where a change must be in force within so long."""
+    """Return the limits where a change must be in force within apply_s."""
     return FreshnessBounds(
         apply_s * _WAIT_SHARE,
         apply_s * _MAX_AGE_SHARE,
--- a/src/linnetwood/fleet/mirror.py
+++ b/src/linnetwood/fleet/mirror.py
@@ -1,4 +1,4 @@
-"""What a range holds, and what somebody at an older revision lacks of it."""
+"""A local copy of a range, and what an older revision of it lacks."""
 
 import dataclasses
 import math
@@ -8,21 +8,22 @@
 
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 
-# Beyond so many deletions the oldest are forgotten, and whoever asks from
-# before them is told the whole range.
+# Beyond this number the oldest deletions are forgotten; a subscriber whose
+# revision is older than these gets the whole range.
 MAX_DELETIONS = 4096
-# Of payloads from here on differences are told, in place of the whole; others
-# are about as small as a difference.
+# Payloads of at least this size are sent as patches. Smaller ones are about as
+# small as a patch.
 LARGE_BYTES = 8192
-# So many versions before the newest are kept, since others may hold them yet.
-# Compressed, one of 1,900 routes takes 60 KB.
+# The number of versions before the newest one that are kept as a base of
+# patches, since other entries may still hold them. A compressed configuration
+# of 1,900 routes takes 60 KB.
 _EARLIER_VERSIONS = 4
 _FASTEST_LEVEL = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """What brings a range to a revision: all of it, or what changed."""
+    """What brings a range up to a revision: all of it, or the changes."""
 
     revision: int
     whole: bool
@@ -36,7 +37,7 @@
 
 
 class Mirror:
-    """Hold the newest record of each key; of several writes only the last."""
+    """Hold the last record that was written to each key."""
 
     __slots__ = (
         '_deleted',
@@ -48,9 +49,9 @@
     )
 
     def __init__(self) -> None:
-        """Hold nothing, as of no revision."""
+        """Start empty, at revision 0."""
         self.revision = 0
-        # Of the large payload that was written last.
+        # The revision of the large payload that was written last.
         self.large_revision = 0
         self._stored: dict[str, _StoredKey] = {}
         self._deleted: deque[tuple[int, str, float]] = deque()
@@ -60,7 +61,7 @@
         self._history_start = 0
 
     def replace_all(self, snapshot: Snapshot, now: float) -> None:
-        """Take in the whole range; deletions before it are not known."""
+        """Replace the whole range; earlier deletions are forgotten."""
         previous = self._stored
         self._stored = {
             key: self._merge_age(
@@ -81,7 +82,7 @@
         revision: int,
         now: float,
     ) -> None:
-        """Take in changes, in order."""
+        """Apply changes in order."""
         for change in changes:
             changed_at = now - change.age_s
             if change.record is None:
@@ -94,7 +95,7 @@
         self._note_large()
 
     def delta_since(self, known_revision: int, now: float) -> Delta:
-        """Give what somebody lacks who knows everything up to a revision."""
+        """Return what a copy of the range at a known revision lacks."""
         if known_revision < self._history_start:
             return Delta(
                 self.revision, whole=True, changes=self._all_changes(now)
@@ -106,7 +107,7 @@
         )
 
     def held_revisions(self) -> dict[str, int]:
-        """Give the revisions of the large payloads that are held, by key."""
+        """Return the revisions of the large payloads that are held, by key."""
         return {
             key: stored.record.revision
             for key, stored in self._stored.items()
@@ -114,7 +115,7 @@
         }
 
     def payload_at(self, key: str, revision: int) -> bytes | None:
-        """Give a key's payload as of this write, if it is still known."""
+        """Return a key's payload as of one write, if it is still held."""
         stored = self._stored.get(key)
         if stored is not None and stored.record.revision == revision:
             return stored.record.payload
@@ -132,7 +133,8 @@
         return _StoredKey(record, changed_at)
 
     def _write(self, key: str, record: Record, changed_at: float) -> None:
-        # A range is read in pages: one read late may hold what comes only now.
+        # A range is read in pages: a page that was read late may already hold
+        # this change.
         stored = self._stored.get(key)
         if stored is None or stored.record.revision < record.revision:
             self._stored[key] = _StoredKey(record, changed_at)
@@ -151,8 +153,9 @@
             self._earlier[key].append((record.revision, packed))
 
     def _delete(self, key: str, revision: int, changed_at: float) -> None:
-        # Where its own revision is not told, that of all the changes it came
-        # with is no lower, so nobody who lacks it is left out.
+        # Where the deletion's own revision is unknown, the revision of the
+        # changes that it came with is used. That one is no lower, so every
+        # subscriber that lacks the deletion gets it.
         self._stored.pop(key, None)
         self._deleted.append((revision, key, changed_at))
         if len(self._deleted) > MAX_DELETIONS:
--- a/src/linnetwood/fleet/rangefollower.py
+++ b/src/linnetwood/fleet/rangefollower.py
@@ -1,7 +1,7 @@
-"""Follow a range of keys: read it once, then wait for what changes.
+"""Follow a range of keys: read it once, then wait for changes.
 
-Where a neighbour tells what the range holds and since when it knows, the store
-is left alone; as soon as that belief is too old, it is asked directly.
+While a relay supplies the range and the age of its view, no request goes to the
+store; as soon as that view is too old, the store is requested directly.
 """
 
 import asyncio
@@ -31,30 +31,33 @@
     Snapshot,
 )
 
-# Entries of live endpoints are back within two seconds of the store's return,
-# so a store that is back is to be noticed well within one.
+# Records of live endpoints are back within 2 s of the store's return, so that
+# return must be noticed well within 1 s.
 _FIRST_PAUSE_S = 0.1
 _MAX_PAUSE_S = 0.8
 _MIN_PAUSE_SHARE = 0.5
 _MIN_PAUSE_S = 0.05
 
-# Whoever hears a neighbour asks a store that fails half as often: the neighbour
-# hears of its return first, and one copy crosses the link in place of many.
+# An entry that has a relay sends a failing store half as many requests: the
+# relay notices the store's return first, and one copy crosses the link in place
+# of many.
 _SUBSCRIBER_MAX_PAUSE_S = 1.6
 
-# Whoever heard nothing for so long reads the range anew: that answer grows with
-# no version that came and went meanwhile. One wait that is lost takes less.
+# After this time without any news the whole range is read again: unlike a list
+# of changes, that answer doesn't grow with versions that came and went since.
+# A single lost wait takes less.
 _REREAD_AFTER_S = 5.0
 
-# A store that is slow is asked to wait for less, so that its answers come as
-# often; but each costs a call.
+# Waits at a slow store are shorter, so that its answers come as often. The
+# minimum limits the number of calls, each of which costs money.
 _MIN_WAIT_S = 0.1
-# Ages are told in milliseconds: what differs by less is the same answer.
+# Ages are sent in milliseconds: times that differ by less belong to the same
+# answer.
 _AGE_RESOLUTION_S = 0.01
 
 
 class RangeFollower(Owner):
-    """Own one range: a task that reads, waits and begins again."""
+    """Own one range: a task that reads it, waits for changes and repeats."""
 
     def __init__(
         self,
@@ -64,21 +67,22 @@
         rng: Random,
         bounds: FreshnessBounds = DEFAULT_BOUNDS,
     ) -> None:
-        """Follow nothing yet."""
+        """Start with no request sent."""
         super().__init__()
         self.synced = asyncio.Event()
-        # By the clock of the loop, which is that of all ages.
+        # All times are by the clock of the loop. This is the time as of which
+        # the store or a relay confirmed the view.
         self.confirmed_at = -math.inf
-        # As of when the store itself confirmed all that is known.
+        # The time as of which the store itself confirmed the view.
         self.store_confirmed_at = -math.inf
         self.last_byte_at = -math.inf
         self.first_byte_at = -math.inf
         self.outages = 0
-        # Whether a neighbour is there to be heard, and whether it is one that
-        # may itself hear this entry: then nothing is passed on.
+        # Whether there is a relay to subscribe to, and whether the current one
+        # may itself subscribe to this entry: then no age is passed on.
         self.has_relays = False
         self.uses_fallback_relay = False
-        # How many neighbours ask before this entry where all tellers fail.
+        # How many entries send requests before this one where all relays fail.
         self.stagger_position = 0
         self.mirror = Mirror()
         self._store = store
@@ -100,38 +104,38 @@
 
     @property
     def revision(self) -> int:
-        """Give the revision up to which everything is known."""
+        """Return the revision up to which all changes are known."""
         return self._revision
 
     def subscribe(self, event: asyncio.Event) -> None:
-        """Set an event at each change from now on."""
+        """Set an event at each change or confirmation from now on."""
         self._subscribers.add(event)
 
     def unsubscribe(self, event: asyncio.Event) -> None:
-        """Set it no more."""
+        """Stop setting an event."""
         self._subscribers.discard(event)
 
     @property
     def is_store_silent(self) -> bool:
-        """Tell whether the store itself has not answered lately."""
+        """Return whether the store itself has not answered lately."""
         return self._is_old(self._answered_at)
 
     @property
     def is_isolated(self) -> bool:
-        """Tell whether neither the store nor a neighbour was heard lately."""
+        """Return whether neither the store nor a relay was heard lately."""
         return self.is_store_silent and self._is_old(self.confirmed_at)
 
     def note_bytes(self) -> None:
-        """Note that bytes of an answer came from the store."""
+        """Note that bytes of an answer arrived from the store."""
         now = asyncio.get_running_loop().time()
         if not math.isfinite(self.first_byte_at):
             self.first_byte_at = now
         self.last_byte_at = now
 
     def apply_update(self, update: RelayedUpdate) -> bool:
-        """Take in what a neighbour tells; tell whether it is trusted.
+        """Apply an update of a relay; return whether its view is trusted.
 
-        While it is, it stands for the store's word.
+        While it is, it replaces the store's own answers.
         """
         now = asyncio.get_running_loop().time()
         trusted_s = self._trusted_s(update, now)
@@ -144,28 +148,30 @@
             self._apply_relayed(update)
             self._cancel_request_if_large(update)
         elif update.revision < self._revision:
-            # It has yet to learn what is known here.
+            # The relay has yet to learn changes that are known here.
             return trusted_s > 0
         self._note_confirmed(now - update.age_s)
         if self.uses_fallback_relay:
-            # The store is asked all the same: it may be back for this entry.
+            # Requests to the store go on: it may be reachable again from here.
             return trusted_s > 0
         self._trusted_until = max(self._trusted_until, now + trusted_s)
         if trusted_s > 0:
             self._failures = 0
-        # One's own answer is given up also if it flows: after an outage all
-        # would share the link, and the neighbour's would come later for all.
+        # The own request is cancelled even if its answer has begun to arrive:
+        # after an outage all answers would share the link, and the relay's
+        # would come later for all.
         if self._request_task and self._revision and now < self._trusted_until:
             self._request_task.cancel()
         return trusted_s > 0
 
     def apply_remote_update(self, update: RelayedUpdate) -> None:
-        """Take in what an entry of another zone tells, beside the store's word.
+        """Apply an update of a relay in another zone.
 
-        Whoever has a change first passes it on as a difference, while whole
-        configurations are still under way to the other zones: 700 KB of 1,900
-        routes take 0.9 s of a link at 6 Mbit/s, a change of one of them 0.3 KB.
-        The store goes on being asked, so that nobody rests on another zone.
+        The zone that has a change first passes it on as a patch, while whole
+        configurations are still on their way to the other zones: 700 KB for
+        1,900 routes take 0.9 s on a link at 6 Mbit/s, the change of one route
+        is 0.3 KB. Requests to the store go on beside it, so that no zone
+        depends on another one.
         """
         if update.revision < self._revision:
             return
@@ -176,7 +182,7 @@
         self._note_confirmed(now - update.age_s)
 
     def forget_relay(self) -> None:
-        """Expect nothing more from the neighbour; another counts anew."""
+        """Drop the state of a relay that was left, before another is used."""
         self._relay_outages = None
         self.uses_fallback_relay = False
 
@@ -189,13 +195,14 @@
                 answered = await self._request()
             except HistoryLostError:
                 log(Event.STORE_HISTORY_LOST, prefix=self._prefix)
-                # The store itself was there: what is missing now is gone.
+                # The store did answer: keys that are missing now are deleted.
                 self._revision = 0
             except StoreError as exc:
                 self._failures += 1
                 self._note_unreachable(exc)
                 self._sink.mark_unreachable()
-                # A call that hung was a pause itself; the store may be back.
+                # The time that a hung call took counts as part of the pause, as
+                # the store may be reachable again.
                 left_s = self._pause_s() - (loop.time() - began)
                 await asyncio.sleep(max(_MIN_PAUSE_S, left_s))
             else:
@@ -209,10 +216,10 @@
             await asyncio.sleep(self._request_at() - loop.time())
 
     def _request_at(self) -> float:
-        """Give when the store is asked, if no neighbour tells until then.
+        """Return when to request the store, if no relay sends an update before.
 
-        One after the other, so that the first answer can be passed on: as many
-        copies at once over one link take as many times as long.
+        Entries take turns, so that the first answer can be relayed: several
+        copies at once over one link take several times as long.
         """
         stagger_s = min(
             self.stagger_position * self._bounds.batch_delay_s,
@@ -221,7 +228,7 @@
         return self._trusted_until + stagger_s
 
     async def _request(self) -> bool:
-        """Ask the store; tell whether it answered before a neighbour did."""
+        """Request the store; return whether it answered before a relay did."""
         task = asyncio.create_task(self._read_or_wait())
         self._request_task = task
         try:
@@ -237,12 +244,12 @@
     async def _read_or_wait(self) -> None:
         asked_at = asyncio.get_running_loop().time()
         self.first_byte_at = -math.inf
-        # An answer that took long is not asked for again for that.
+        # An answer that took long must not itself cause another full read.
         last_at = max(self.confirmed_at, self._answered_at, self._advanced_at)
         if not self._revision or asked_at - last_at > _REREAD_AFTER_S:
             await self._read()
             return
-        # An old belief is to be confirmed soon.
+        # The older the view is, the sooner it must be confirmed.
         age_s = asked_at - self.confirmed_at
         wait_s = self._bounds.wait_s - self._overhead_s - age_s
         wait_s = max(_MIN_WAIT_S, wait_s)
@@ -252,19 +259,19 @@
             self._hedge_after_s(wait_s, age_s),
             lambda: not math.isfinite(self.first_byte_at),
         )
-        # A wait that ends empty confirms what is believed, too.
+        # A wait that ends without changes also confirms the view.
         full_wait_s = 0 if answer.changes else wait_s
         began_at = self._note_answer(asked_at, full_wait_s)
         if not answer.changes:
             self._overhead_s = max(0, began_at - asked_at - wait_s)
         if answer.revision > self._revision:
-            # Another entry may have told a part of it meanwhile.
+            # Another entry may have relayed some of these changes meanwhile.
             missing = (
                 change
                 for change in answer.changes
                 if change.may_follow(self._revision)
             )
-            # All were written before the answer began to come.
+            # All were written before the answer began to arrive.
             aged = _add_age(missing, self.last_byte_at - began_at)
             self._apply_changes(Changes(tuple(aged), answer.revision))
         if answer.changes:
@@ -275,14 +282,17 @@
         return functools.partial(wait, self._prefix, self._revision, wait_s)
 
     def _hedge_after_s(self, wait_s: float, age_s: float) -> float:
-        """Give when a wait is asked again; a store that fails is asked once."""
+        """Return after how many seconds to repeat a wait that has no answer.
+
+        A store that fails gets no second request.
+        """
         if self._failures:
             return math.inf
         due_s = wait_s + self._overhead_s
         return due_s + self._bounds.hedge_delay_at_s(age_s + due_s)
 
     def _batch_delay_s(self) -> float:
-        """Give for how long changes are gathered: a belief that ages is not."""
+        """Return how long to gather changes: less for a view that is older."""
         age_s = asyncio.get_running_loop().time() - self.confirmed_at
         return max(
             0, min(self._bounds.batch_delay_s, self._bounds.wait_s - age_s)
@@ -293,7 +303,7 @@
         snapshot = await self._store.read(self._prefix)
         self._note_answer(asked_at)
         if snapshot.revision < self._revision:
-            # A neighbour told more meanwhile.
+            # A relay sent a newer revision meanwhile.
             return
         self._apply_snapshot(snapshot)
 
@@ -323,7 +333,10 @@
         self._apply_snapshot(Snapshot(records, update.revision, ages))
 
     def _cancel_request_if_large(self, update: RelayedUpdate) -> None:
-        """Ask the store anew: it sends the same whole, over a shared link."""
+        """Cancel a request whose answer would bring the same data as a whole.
+
+        It would take up the link that the region shares.
+        """
         if self._request_task and _is_large(update):
             self._request_task.cancel()
 
@@ -344,7 +357,7 @@
             return fresh_s
         receiving_s = self._bounds.receiving_for_s(update)
         if receiving_s > 0:
-            # Not for ever: one answer after the other may break off.
+            # Limited, since one answer after the other may break off.
             until = min(
                 self._receiving_until, now + self._bounds.max_receiving_s
             )
@@ -366,9 +379,9 @@
         return age_s > self._bounds.max_age_s
 
     def _note_answer(self, asked_at: float, waited_s: float = 0) -> float:
-        """Note that the store answered; give when its answer began to come.
+        """Note an answer of the store; return when it began to arrive.
 
-        It waited for so long, at least, unless the answer came sooner.
+        The store waited for at least waited_s, unless the answer came sooner.
         """
         now = asyncio.get_running_loop().time()
         self.last_byte_at = now
@@ -376,8 +389,8 @@
         self._receiving_until = math.inf
         began_at = self.first_byte_at
         began_at = began_at if math.isfinite(began_at) else now
-        # An answer is made up after its question, and may be on its way for any
-        # time: from its arrival on, a belief would be younger than the truth.
+        # An answer is made after its request and may take any time to arrive.
+        # Counted from its arrival, the view would seem younger than it is.
         until = asked_at + waited_s
         known_at = until if until <= began_at else asked_at
         self.store_confirmed_at = max(self.store_confirmed_at, known_at)
@@ -388,7 +401,7 @@
         is_newer = known_at > self.confirmed_at + _AGE_RESOLUTION_S
         self.confirmed_at = max(self.confirmed_at, known_at)
         if is_newer:
-            # Listeners trust what is confirmed, also where nothing changed.
+            # Subscribers need the new age also where no key changed.
             self._notify()
 
     def _note_unreachable(self, exc: StoreError) -> None:
@@ -414,7 +427,7 @@
 
 
 def _add_age(changes: Iterable[Change], seconds: float) -> Iterator[Change]:
-    """Add what changes took to come."""
+    """Add the time that changes took to arrive."""
     for change in changes:
         yield dataclasses.replace(change, age_s=change.age_s + seconds)
 
--- a/src/linnetwood/fleet/ranges.py
+++ b/src/linnetwood/fleet/ranges.py
@@ -1,4 +1,4 @@
-"""Ranges of keys: what they hold, what changes, who tells and who hears."""
+"""Ranges of keys: snapshots, changes, and the protocols for both."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 
 
 class HistoryLostError(StoreError):
-    """The changes since a revision can no longer be told."""
+    """The store no longer has the changes since a revision."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """A key as it was written, or without a record when it is gone.
+    """A key as it was written, or without a record when it is deleted.
 
-    Its age is the seconds since somebody saw it come; infinity if nobody did.
-    A key that is gone went at a revision, 0 if that is not told.
+    age_s is the seconds since some entry first saw the change, infinity if none
+    did. deleted_revision is the revision of the deletion, 0 if unknown.
     """
 
     key: str
@@ -33,7 +33,7 @@
     deleted_revision: int = 0
 
     def may_follow(self, revision: int) -> bool:
-        """Tell whether it may have come after a revision."""
+        """Return whether the change may be newer than a revision."""
         if self.record is not None:
             return self.record.revision > revision
         return not self.deleted_revision or self.deleted_revision > revision
@@ -43,7 +43,8 @@
 class Snapshot:
     """A range of keys, and the revision from which to wait for changes.
 
-    Ages are those of changes; a key without one was not seen to change.
+    Ages are in seconds, by key, as in Change; a key without an age was not seen
+    to change.
     """
 
     records: Mapping[str, Record]
@@ -53,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed, in order, and the revision to go on from."""
+    """Changes in order, and the revision to go on from."""
 
     changes: tuple[Change, ...]
     revision: int
@@ -66,17 +67,21 @@
         """Read a range; raise StoreError when the store does not answer."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for changes; raise HistoryLostError if they can't be told."""
+        """Wait up to wait_s for changes after a revision.
+
+        Raises HistoryLostError when the store no longer has them, StoreError
+        when it does not answer.
+        """
 
 
 class RangeSink(Protocol):
-    """Take in what a range holds."""
+    """Receive what a range holds."""
 
     def replace_all(self, snapshot: Snapshot) -> None:
-        """Take in the whole range."""
+        """Replace the whole range."""
 
     def apply_changes(self, changes: tuple[Change, ...]) -> None:
-        """Take in changes, in order."""
+        """Apply changes in order."""
 
     def mark_unreachable(self) -> None:
-        """Learn that the store could not be read just now."""
+        """Note that the store could not be reached just now."""
