--- a/src/linnetwood/fleet/hedging.py
+++ b/src/linnetwood/fleet/hedging.py
@@ -1,8 +1,8 @@
-"""Ask once more beside a question that gets no answer; no clock of its own.
+"""Send a second request beside one that gets no answer; no clock of its own.
 
-A connection may fall silent for good while new ones work, and an answer that is
-late on a full link still comes: the first question goes on, and nothing that it
-brings is dropped for the second.
+A connection may stay silent for good while new ones work, and an answer that is
+late on a full link still arrives. The first request therefore goes on, and its
+answer is used if it arrives first.
 """
 
 import asyncio
@@ -22,9 +22,10 @@
     hedge_after_s: float,
     is_silent: Callable[[], bool],
 ) -> _Answer:
-    """Give the first answer; the second is asked where none came by its time.
+    """Return the first answer; send the second request after hedge_after_s.
 
-    Raises StoreError when all that was asked failed.
+    It is sent only while no answer has come and is_silent() holds. Raises
+    StoreError when all requests failed.
     """
     tasks = {asyncio.create_task(first())}
     try:
@@ -50,13 +51,13 @@
 
 def _failed(task: asyncio.Task[Any]) -> bool:
     failure = task.exception()
-    # That history is lost is an answer.
+    # A lost history is an answer of the store, not a failure.
     is_history_lost = isinstance(failure, HistoryLostError)
     return isinstance(failure, StoreError) and not is_history_lost
 
 
 async def cancel_all(tasks: Iterable[asyncio.Task[Any]]) -> None:
-    """Cancel tasks and wait until they have ended."""
+    """Cancel tasks and wait until they end."""
     tasks = tuple(tasks)
     for task in tasks:
         task.cancel()
--- a/src/linnetwood/fleet/patches.py
+++ b/src/linnetwood/fleet/patches.py
@@ -1,8 +1,8 @@
 """Differences between two versions of a payload; no I/O or clock.
 
-A configuration of 1,900 routes is 500 KB, and a change of one route of it a few
-hundred bytes. Payloads are cut where a row of JSON begins, and the pieces that
-the older one has are copied from there.
+A configuration of 1,900 routes is 500 KB, and a change of one route is a few
+hundred bytes. Payloads are split where a row of JSON begins; rows that the
+older payload also has are copied from it.
 """
 
 import dataclasses
@@ -12,16 +12,16 @@
 from linnetwood.core.errors import CodecError
 
 _ROW_START = b'{'
-# A run tells from where and how many bytes are copied, and how many of the new
-# ones follow.
+# A run has three numbers: the offset and the count of bytes to copy from the
+# older payload, and the count of added bytes that follow.
 _RUN_FIELDS = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Patch:
-    """What makes a newer payload of an older one: runs, and the new bytes.
+    """Runs and added bytes that turn an older payload into a newer one.
 
-    The check is the CRC-32 of the newer one.
+    The checksum is that of the newer payload.
     """
 
     runs: Sequence[int]
@@ -30,7 +30,7 @@
 
 
 def make_patch(old: bytes, new: bytes) -> Patch:
-    """Give what makes the newer payload of the older one."""
+    """Return the patch from an older payload to a newer one."""
     offsets = {row: offset for offset, row in _rows(old)}
     runs: list[list[int]] = [[0, 0, 0]]
     added = []
@@ -49,14 +49,17 @@
 
 
 def apply_patch(old: bytes, patch: Patch, max_bytes: int) -> bytes:
-    """Make the newer payload, of so many bytes at most; raise CodecError."""
+    """Return the newer payload; raise CodecError if it is invalid.
+
+    A payload of over max_bytes bytes is invalid, too.
+    """
     if len(patch.runs) % _RUN_FIELDS or min(patch.runs, default=0) < 0:
-        raise CodecError('bad-message', 'runs of a patch')
+        raise CodecError('bad-message', 'malformed runs in a patch')
     if sum(patch.runs[1::_RUN_FIELDS]) + len(patch.added) > max_bytes:
-        raise CodecError('bad-message', f'a patch makes over {max_bytes} bytes')
+        raise CodecError('bad-message', f'patched payload > {max_bytes} bytes')
     new = b''.join(_parts(old, patch))
     if zlib.crc32(new) != patch.crc32:
-        raise CodecError('bad-message', 'a patch is of another payload')
+        raise CodecError('bad-message', 'patched payload has a wrong CRC-32')
     return new
 
 
@@ -73,7 +76,7 @@
 
 
 def _rows(payload: bytes) -> Iterator[tuple[int, bytes]]:
-    """Give each row with its place; the rows make up the whole payload."""
+    """Yield each row with its offset; joined, they are the whole payload."""
     first, *rows = payload.split(_ROW_START)
     offset = 0
     for row_bytes in (first, *(_ROW_START + row for row in rows)):
--- a/src/linnetwood/fleet/rangecodec.py
+++ b/src/linnetwood/fleet/rangecodec.py
@@ -1,4 +1,4 @@
-"""Changes of a range and their ages, as neighbours send them."""
+"""Encoding of range changes and their ages between entries."""
 
 import math
 import zlib
@@ -15,7 +15,7 @@
 
 _MILLISECONDS = 1000
 _NEVER = -1
-# Text shrinks nearly as well at the quickest level, and processors are small.
+# Text shrinks nearly as well at the fastest level, and processors are slow.
 _FASTEST_LEVEL = 1
 _MAX_UNPACKED_BYTES = 8 * MAX_FRAME
 _NONE_HELD: Mapping[str, int] = MappingProxyType({})
@@ -28,8 +28,8 @@
 ) -> bytes:
     """Encode and compress changes; a configuration's text shrinks a lot.
 
-    Large payloads are told as what they differ in from the revisions that are
-    held, by key, as far as the mirror knows these.
+    held gives the revisions that the receiver holds, by key. Large payloads are
+    encoded as patches against these, as far as the mirror still has them.
     """
     range_items = [_to_item(change, held, mirror) for change in changes]
     return zlib.compress(encode(RangeItems(range_items)), _FASTEST_LEVEL)
@@ -40,9 +40,10 @@
     packed_age_ms: int,
     mirror: Mirror | None = None,
 ) -> Iterator[Change]:
-    """Give changes that were packed so long ago; raise CodecError.
+    """Yield the changes of a message; raise CodecError.
 
-    The mirror holds what differences are told against.
+    packed_age_ms is the time since they were packed, in milliseconds. The
+    mirror holds the payloads that patches apply to.
     """
     unpacker = zlib.decompressobj()
     try:
@@ -100,12 +101,12 @@
 
 
 def as_milliseconds(seconds: float) -> int:
-    """Give an age as it is sent, no younger than it is."""
+    """Return an age as it is sent, rounded up; -1 for never."""
     if not math.isfinite(seconds):
         return _NEVER
     return math.ceil(seconds * _MILLISECONDS)
 
 
 def as_seconds(milliseconds: int) -> float:
-    """Give an age as it was sent; infinity for never."""
+    """Return a received age in seconds; infinity for never."""
     return math.inf if milliseconds < 0 else milliseconds / _MILLISECONDS
