--- a/src/linnetwood/fleet/rangerelay.py
+++ b/src/linnetwood/fleet/rangerelay.py
@@ -1,4 +1,4 @@
-"""Pass the store's news on to neighbours, so that few copies cross regions."""
+"""Relay the store's changes between entries; few copies cross regions."""
 
 import asyncio
 from collections.abc import Mapping
@@ -24,17 +24,17 @@
 from linnetwood.wire.frames import FrameKind, FrameStream
 
 _IDLE_S = 0.5
-# Whoever knows nothing yet waits for somebody to hear.
+# Shorter for an entry that knows no revision yet and waits for a relay.
 _STARTUP_IDLE_S = 0.02
-# A neighbour of the same availability zone is about a millisecond away.
+# An entry of the same availability zone is about 1 ms away.
 _CONNECT_TIMEOUT_S = 0.4
-# A packet to another region may wait on a full link for a second or more.
+# A packet to another region may wait on a full link for 1 s or more.
 _REMOTE_CONNECT_TIMEOUT_S = 2.0
 _NO_HANDLERS: Mapping[int, FrameHandler] = MappingProxyType({})
 
 
 class RangeSubscriber(Owner):
-    """Hear a neighbour where there is one; a task that owns its connection."""
+    """Follow a relay of the own zone; a task that owns the connection."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         dialler: Dialler,
         port: int,
     ) -> None:
-        """All entries tell on one port."""
+        """Connect to relays on one port, the same on all entries."""
         super().__init__()
         self._follower = follower
         self._selector = selector
@@ -107,10 +107,10 @@
         return self._selector.is_known(host)
 
     def _leave_if_better(self, host: str, update: RelayedUpdate) -> None:
-        """Leave a neighbour that is out of touch, if there may be a better.
+        """Leave a relay whose view is too old, if there may be a better one.
 
-        Where there is none it is kept: it tells as soon as the store is back
-        for it, and one copy then serves the whole zone.
+        Otherwise it is kept: it sends an update as soon as it reaches the store
+        again, and one copy then serves the whole zone.
         """
         alternative = self._choose(exclude=host)
         selector = self._selector
@@ -122,11 +122,11 @@
             or not selector.is_first_choice(host)
         ):
             raise WireError('teller-stale', f'{update.age_s:.3f} s')
-        # Any other is looked at for once, and this one is not left to rest.
+        # The alternative is tried once, and this relay gets no cooldown.
         self._skipped_host = host
 
     def _log_error(self, host: str, exc: LinnetwoodError) -> None:
-        # The same trouble again says nothing new.
+        # The same error again is not logged.
         if self._error_codes.get(host) == exc.code:
             return
         self._error_codes[host] = exc.code
@@ -140,14 +140,14 @@
 
     def _log_subscribed(self, host: str) -> None:
         if self._error_codes.get(host) != '':
-            # Whatever befalls others from now on is new.
+            # Any error of other relays from now on is logged again.
             self._error_codes = {host: ''}
             revision = self._follower.revision
             log(Event.TELLER_HEARD, teller=host, revision=revision)
 
 
 class RangeRelay:
-    """Both sides at an entry: hear other entries, and tell them."""
+    """Both sides of relaying at an entry: subscriber and server."""
 
     def __init__(
         self,
@@ -156,7 +156,10 @@
         port: int,
         handlers: Mapping[int, FrameHandler] = _NO_HANDLERS,
     ) -> None:
-        """All entries tell on one port, and answer other frames there too."""
+        """Serve on the port that all entries use.
+
+        Frames of other kinds that arrive there go to the handlers.
+        """
         relay_server = RangeRelayServer(follower, selector)
         self._port = port
         self._server = WireServer(
@@ -170,13 +173,13 @@
         )
 
     async def start(self, host: str) -> None:
-        """Begin to tell and to listen."""
+        """Start the server and the subscribers."""
         await self._server.start(bind_sockets(self._port, host))
         self._subscriber.start()
         self._remote_subscriber.start()
 
     async def close(self) -> None:
-        """Stop telling and listening."""
+        """Stop the subscribers and the server."""
         await self._subscriber.close()
         await self._remote_subscriber.close()
         await self._server.close()
--- a/src/linnetwood/fleet/rangerelayserver.py
+++ b/src/linnetwood/fleet/rangerelayserver.py
@@ -1,4 +1,4 @@
-"""Tell other entries what the store's range holds, and since when."""
+"""Send the store's range and the age of the view to other entries."""
 
 import asyncio
 import math
@@ -14,41 +14,42 @@
 from linnetwood.wire.codec import decode, encode
 from linnetwood.wire.frames import MAX_FRAME, Frame, FrameKind, FrameStream
 
-# A teller that knows nothing new says so this often.
+# A relay without changes sends an update this often.
 HEARTBEAT_S = 0.2
-# Other zones are told what is new at once, too; an idle word of 130 bytes, with
-# its headers, is half as frequent on links that regions share.
+# Other zones get large changes at once, too. An update without changes is 130
+# bytes with its headers, and half as frequent on links that regions share.
 REMOTE_HEARTBEAT_S = 0.4
-# A listener that reads nothing for so long is given up.
+# A subscriber that reads nothing for this time is disconnected.
 _WRITE_TIMEOUT_S = 5.0
-# One of another zone may read over a link that is full, for as long as bytes
-# come; it leaves by itself after 2 s without any. This ends what nobody reads.
+# A subscriber of another zone may read over a full link for as long as bytes
+# arrive, and leaves by itself after 2 s without any. This timeout ends a
+# connection that nobody reads.
 _REMOTE_WRITE_TIMEOUT_S = 30.0
 _MILLISECONDS = 1000
-# Those that keep up, those that came just now, and those of other zones.
+# Enough for subscribers that keep up, new ones, and those of other zones.
 _PACKED_CACHE_SIZE = 4
 _CacheKey = tuple[int, int, bool, tuple[tuple[str, int], ...]]
 
 
 class RangeRelayServer:
-    """Tell neighbours what is known of a range, and since when."""
+    """Send a range and the age of its view to subscribers."""
 
     def __init__(
         self,
         follower: RangeFollower,
         selector: RelaySelector | None = None,
     ) -> None:
-        """Tell what a follower knows; other zones, whom to hear rather."""
+        """Serve a follower's range; a selector names relays to other zones."""
         self._follower = follower
         self._selector = selector
         self._packed_cache: dict[_CacheKey, tuple[bytes, float]] = {}
 
     async def serve(self, stream: FrameStream, frame: Frame) -> None:
-        """Tell one listener, until it goes."""
+        """Serve one subscriber until it disconnects."""
         subscriber = _Subscriber(decode(RangeRequest, frame.payload))
         changed = asyncio.Event()
         self._follower.subscribe(changed)
-        # Beside telling: ages count from when a request was read.
+        # In a task of its own: ages count from when a request was read.
         reading = asyncio.create_task(_read_requests(stream, subscriber))
         try:
             await self._send_updates(stream, subscriber, changed, reading)
@@ -63,7 +64,7 @@
         changed: asyncio.Event,
         reading: asyncio.Task[None],
     ) -> None:
-        """Tell at each beat and at news, until the listener is not heard."""
+        """Send an update at each heartbeat and change until requests end."""
         while not reading.done():
             changed.clear()
             await self._send_update(stream, subscriber)
@@ -78,9 +79,9 @@
         changed: asyncio.Event,
         subscriber: '_Subscriber',
     ) -> None:
-        """Wait for a beat, or for news that is large.
+        """Wait for the heartbeat of other zones, or for a large change.
 
-        What is small comes to both from the store at the same time.
+        Small changes reach both zones from the store at the same time.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + REMOTE_HEARTBEAT_S
@@ -128,7 +129,8 @@
 
     def _range_part(self, now: float) -> RangePart:
         follower = self._follower
-        # What was borrowed has no age for others, so it can't go in a circle.
+        # A view from a fallback relay is sent without an age, so that no two
+        # entries confirm each other's views.
         as_of = -math.inf if follower.uses_fallback_relay else now
         return RangePart(
             revision=follower.mirror.revision,
@@ -139,10 +141,10 @@
         )
 
     def _remote_range_part(self, now: float) -> RangePart:
-        """Tell another zone the age of the store's own answers alone.
+        """Return the message for another zone; its age is the store's alone.
 
-        What is known by other zones' word has none, so no word goes in a
-        circle between them.
+        Confirmations by other zones don't count for this age, so that no two
+        zones confirm each other's views.
         """
         follower = self._follower
         rather = b''
@@ -162,7 +164,7 @@
         delta: Delta,
         now: float,
     ) -> tuple[bytes, float]:
-        # Listeners that keep up all lack the same.
+        # All subscribers that keep up lack the same changes.
         held = tuple(sorted(subscriber.held_revisions.items()))
         cache_key = (
             subscriber.known_revision,
@@ -179,13 +181,13 @@
             self._packed_cache[cache_key] = (packed, now)
         packed, packed_at = self._packed_cache[cache_key]
         if len(packed) > MAX_FRAME:
-            # Whoever lacks so much asks the store.
+            # A subscriber that lacks more than one frame reads the store.
             raise WireError('range-too-large', f'{len(packed)} bytes')
         return packed, packed_at
 
 
 class _Subscriber:
-    """What one listener knows."""
+    """The revisions that one subscriber holds."""
 
     __slots__ = (
         'known_revision',
@@ -204,7 +206,7 @@
         self.note_request(request)
 
     def note_request(self, request: RangeRequest) -> None:
-        """Note what it knows by its own word, unless it was told more since."""
+        """Note what a request says it holds, unless more was sent since."""
         self.requested_at = asyncio.get_running_loop().time()
         self.request_count += 1
         if request.after >= self.known_revision:
@@ -214,7 +216,7 @@
             }
 
     def note_sent(self, delta: Delta) -> None:
-        """Note what it knows from now on."""
+        """Note what the subscriber holds after an update."""
         self.known_revision = delta.revision
         for change in delta.changes:
             record = change.record
@@ -228,7 +230,7 @@
 
 
 async def _read_requests(stream: FrameStream, subscriber: _Subscriber) -> None:
-    """Take in what a listener learned meanwhile: it need not be told that."""
+    """Note what a subscriber learned elsewhere: that need not be sent."""
     while True:
         frame = await stream.read()
         if frame.kind is not FrameKind.RANGE_REQUEST:
--- a/src/linnetwood/fleet/relayreader.py
+++ b/src/linnetwood/fleet/relayreader.py
@@ -1,4 +1,4 @@
-"""Read what another entry tells of the store's range, and how late it comes."""
+"""Read the updates of a relay, and measure how late they arrive."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,27 +14,27 @@
 from linnetwood.wire.codec import decode, encode
 from linnetwood.wire.frames import Frame, FrameKind, FrameStream
 
-# One that is silent for more than two beats of a teller is left for another.
+# A relay that is silent for more than two heartbeats is left for another one.
 SILENCE_TIMEOUT_S = 0.5
-# Below this a word is of load and warmth: tens of lines a second.
+# Smaller updates carry load and warm-up changes: tens of log lines a second.
 _LOGGED_FROM_BYTES = 4096
 
-
-# Clocks of two VMs drift apart by half a thousandth at most.
+# Delays are measured from the last request. Clocks of two VMs drift apart by at
+# most half a thousandth, 5 ms in this time.
 _REQUEST_EVERY_S = 10.0
-# A request that was read late makes all words count as late until the next.
+# A request that was read late makes all updates count as late until the next.
 _REQUEST_EVERY_DELAYED_S = 1.0
 _LARGE_DELAY_S = 0.1
 _MILLISECONDS = 1000
 
 
 def _no_delay(part: RangePart) -> float:
-    """Take a word for one that was said just now."""
+    """Count an update as sent just now."""
     return 0
 
 
 class RelayReader:
-    """Ask one entry to tell, and read what it tells."""
+    """Request updates from one relay, and read them."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         is_remote: bool = False,
         silence_timeout_s: float = SILENCE_TIMEOUT_S,
     ) -> None:
-        """Ask nothing yet; differences are told against the mirror."""
+        """Send no request yet; the mirror holds what patches apply to."""
         self._stream = stream
         self._mirror = mirror
         self._host = host
@@ -57,7 +57,7 @@
         self._requested_at: dict[int, float] = {}
 
     async def request(self) -> None:
-        """Ask to be told what is lacking, from now on."""
+        """Request all changes that the mirror lacks, from now on."""
         mirror = self._mirror
         held_keys = [HeldKey(*held) for held in mirror.held_revisions().items()]
         request = RangeRequest(mirror.revision, self._is_remote, held_keys)
@@ -67,7 +67,7 @@
         await self._stream.write(FrameKind.RANGE_REQUEST, encode(request))
 
     async def read(self) -> RelayedUpdate:
-        """Read a word; raise WireError, CodecError."""
+        """Read an update; raise WireError, CodecError."""
         was_delayed = self._last_delay_s > _LARGE_DELAY_S
         request_every_s = (
             _REQUEST_EVERY_DELAYED_S if was_delayed else _REQUEST_EVERY_S
@@ -86,11 +86,11 @@
         )
 
     def _delay_s(self, part: RangePart) -> float:
-        """Give for how long a word may have been on its way, in seconds.
+        """Return for how many seconds an update may have been on its way.
 
-        It was said after the request that its teller had read, by the time that
-        the teller says. What it waited since, in a queue, a buffer or a process
-        that stood still, its age leaves out.
+        The relay names the last request that it read and the time from there to
+        the update. The update's ages leave out what it waited since then, in a
+        queue, a buffer or a suspended process.
         """
         if part.asked_ms < 0:
             return _no_delay(part)
@@ -118,10 +118,10 @@
     silence_timeout_s: float = SILENCE_TIMEOUT_S,
     measure_delay: Callable[[RangePart], float] = _no_delay,
 ) -> RelayedUpdate:
-    """Read a word, with the items that follow it; raise WireError, CodecError.
+    """Read an update with its changes; raise WireError, CodecError.
 
-    The mirror holds what differences are told against. All ages are older by
-    what the word is late.
+    The mirror holds the payloads that patches apply to. The update's delay, in
+    seconds, is added to all ages.
     """
     frame = await _expect(stream, FrameKind.RANGE_PART, silence_timeout_s)
     part = decode(RangePart, frame.payload)
@@ -129,7 +129,7 @@
     if part.items:
         packed = await _expect(stream, FrameKind.RANGE_ITEMS, silence_timeout_s)
         payload = packed.payload
-    # All of it has come by now.
+    # The whole update has arrived by now.
     delay_s = measure_delay(part)
     changes: tuple[Change, ...] = ()
     if payload:
