--- a/src/linnetwood/fleet/relayselector.py
+++ b/src/linnetwood/fleet/relayselector.py
@@ -1,4 +1,4 @@
-"""Which neighbour to hear the store's news from; no I/O or clock."""
+"""Choose the relay of the own availability zone; no I/O or clock."""
 
 from collections.abc import Iterable
 from random import Random
@@ -6,27 +6,28 @@
 from linnetwood.fleet.remotezoneselector import RemoteZoneSelector, relay_rank
 from linnetwood.fleet.cooldown import Cooldown
 
-# So many of an availability zone ask the store for all: one, and one more that
-# takes over where the first is gone or hears nothing.
+# The number of entries of an availability zone that request the store for all:
+# one, and another that takes over where the first is gone or out of touch.
 RELAYS_PER_ZONE = 2
-# Endpoint processes tell once a second who is there.
+# Endpoint processes name the zone's entries once a second.
 _EXPIRES_AFTER_S = 3.0
-# All others rest together: which of them is asked is chance.
+# All other entries share one cooldown: which of them is tried is random.
 _OTHER_ENTRIES = ''
 
 
 class RelaySelector:
     """Hold the entries of one availability zone, in an order all agree on.
 
-    An entry hears those before it, so that news never goes in a circle, however
-    much the entries' views of each other differ. One that the store turns away,
-    and those before it too, borrows from any other, and passes nothing on.
+    An entry subscribes to entries before it, so that updates never go in a
+    circle, however much the entries' lists of each other differ. An entry that
+    the store refuses, as it does those before it, uses any other entry as a
+    fallback relay and passes no ages on.
     """
 
     __slots__ = ('_seen_at', '_cooldown', '_rng', 'remote_zones', 'me')
 
     def __init__(self, me: str, rng: Random) -> None:
-        """Know nobody."""
+        """Start with no other entry."""
         self.me = me
         self.remote_zones = RemoteZoneSelector(me, rng)
         self._rng = rng
@@ -35,44 +36,44 @@
 
     @property
     def has_relays(self) -> bool:
-        """Tell whether anybody is there to be heard."""
+        """Return whether there is a relay to subscribe to."""
         return bool(self._first_choices())
 
     @property
     def relays(self) -> list[str]:
-        """Give those that this entry hears."""
+        """Return the relays of this entry, the first choice first."""
         return self._first_choices()
 
     @property
     def is_relay(self) -> bool:
-        """Tell whether this entry is one of those that the zone hears."""
+        """Return whether this entry is one of the zone's relays."""
         return len(self._first_choices()) < RELAYS_PER_ZONE
 
     @property
     def stagger_position(self) -> int:
-        """Give how many ask the store before this entry, if all tellers fail.
+        """Return how many entries request the store first if all relays fail.
 
-        Those that all others hear ask anyway, and are not counted.
+        The zone's relays, which send requests anyway, are not counted.
         """
         earlier = sum(1 for host in self._seen_at if self.is_before(host))
         return max(0, earlier - RELAYS_PER_ZONE)
 
     def note_seen(self, hosts: Iterable[str], now: float) -> None:
-        """Take in who is there."""
+        """Note entries of the zone that were seen at a time."""
         for host in hosts:
             if host != self.me:
                 self._seen_at[host] = now
 
     def is_known(self, host: str) -> bool:
-        """Tell whether a neighbour is still there."""
+        """Return whether an entry of the zone was seen lately."""
         return host in self._seen_at
 
     def is_before(self, host: str) -> bool:
-        """Tell whether a neighbour comes before this entry."""
+        """Return whether another entry comes before this one."""
         return relay_rank(host) < relay_rank(self.me)
 
     def is_first_choice(self, host: str) -> bool:
-        """Tell whether a neighbour is one of those to hear first."""
+        """Return whether another entry is one of this entry's relays."""
         return host in self._first_choices()
 
     def choose(
@@ -82,7 +83,10 @@
         any_entry: bool = False,
         exclude: str = '',
     ) -> str | None:
-        """Give whom to hear, or nobody: then the store itself is asked."""
+        """Return the relay to subscribe to, or None: then request the store.
+
+        any_entry allows a fallback relay; exclude is never returned.
+        """
         self._expire(now)
         available = (
             host
@@ -95,13 +99,13 @@
         return chosen
 
     def note_failure(self, host: str, now: float) -> None:
-        """Leave a neighbour alone for a while that knew nothing new."""
+        """Begin a cooldown of an entry that failed or knew nothing new."""
         self._cooldown.note_failure(
             host if self.is_first_choice(host) else _OTHER_ENTRIES, now
         )
 
     def note_success(self, host: str) -> None:
-        """Forget the failures of a neighbour that tells."""
+        """Forget the failures of an entry that sends good updates."""
         self._cooldown.note_success(
             host if self.is_first_choice(host) else _OTHER_ENTRIES
         )
--- a/src/linnetwood/fleet/remotezoneselector.py
+++ b/src/linnetwood/fleet/remotezoneselector.py
@@ -1,19 +1,19 @@
-"""Which entries of other availability zones to hear; no I/O or clock."""
+"""Choose relays in other availability zones; no I/O or clock."""
 
 import functools
 from collections.abc import Iterable
 from random import Random
 
-from linnetwood.fleet.members import hash64
 from linnetwood.fleet.cooldown import Cooldown
+from linnetwood.fleet.members import hash64
 
-# An entry that a zone hears has a connection to one entry of each of so many
-# other zones, whatever their number. An idle one is 0.3 KB a second.
+# A relay of a zone has a connection to one entry of each of this many other
+# zones, however many there are. An idle connection takes 0.3 KB/s.
 ZONES_SUBSCRIBED = 4
-# The first of a zone are told of others once a second, one more at each telling
-# by chance: each of 20 about every fifth second.
+# The first entries of a zone get the list of other zones once a second, and one
+# further entry at random each time: each of 20 about every 5 s.
 _EXPIRES_AFTER_S = 20.0
-# Places are asked for at each word of a neighbour; those of the largest zones.
+# Ranks are looked up at each update; this is enough for the largest zones.
 _RANK_CACHE_SIZE = 1024
 
 
@@ -23,19 +23,19 @@
     __slots__ = ('_seen_at', '_me', '_preferred', '_cooldown')
 
     def __init__(self, me: str, rng: Random) -> None:
-        """Know nobody."""
+        """Start with no entry of any zone."""
         self._me = me
         self._seen_at: dict[str, dict[str, float]] = {}
         self._preferred: dict[str, tuple[str, ...]] = {}
         self._cooldown = Cooldown(rng)
 
     def note_seen(self, zone: str, hosts: Iterable[str], now: float) -> None:
-        """Take in who is there in a zone."""
+        """Note entries of a zone that were seen at a time."""
         seen = self._seen_at.setdefault(zone, {})
         seen.update((host, now) for host in hosts)
 
     def zones(self, now: float) -> list[str]:
-        """Give the zones to hear: each entry draws its own."""
+        """Return the zones to subscribe to: each entry draws its own."""
         self._expire(now)
         drawn = sorted(
             self._seen_at,
@@ -44,7 +44,7 @@
         return drawn[:ZONES_SUBSCRIBED]
 
     def choose(self, zone: str, now: float) -> str | None:
-        """Give whom to hear of a zone, or nobody."""
+        """Return the entry of a zone to subscribe to, or None."""
         hosts = sorted(self._seen_at.get(zone, ()), key=relay_rank)
         available = (
             host
@@ -54,15 +54,15 @@
         return next(available, None)
 
     def prefer(self, zone: str, hosts: tuple[str, ...]) -> None:
-        """Prefer those that an entry of a zone hears itself."""
+        """Prefer the entries that a relay of a zone names in its place."""
         self._preferred[zone] = hosts
 
     def note_failure(self, host: str, now: float) -> None:
-        """Leave an entry alone for a while."""
+        """Begin a cooldown of an entry that failed."""
         self._cooldown.note_failure(host, now)
 
     def note_success(self, host: str) -> None:
-        """Forget the failures of one that tells."""
+        """Forget the failures of an entry that sends updates."""
         self._cooldown.note_success(host)
 
     def _expire(self, now: float) -> None:
@@ -89,5 +89,5 @@
 
 @functools.lru_cache(maxsize=_RANK_CACHE_SIZE)
 def relay_rank(host: str) -> tuple[int, str]:
-    """Give an entry's place among those of its zone, agreed by all."""
+    """Return an entry's rank in its zone, which all entries agree on."""
     return hash64(f'tell|{host}'), host
--- a/src/linnetwood/fleet/remotezonesubscriber.py
+++ b/src/linnetwood/fleet/remotezonesubscriber.py
@@ -1,7 +1,8 @@
-"""Hear entries of other zones, so that no zone rests on its own way alone.
+"""Subscribe to other zones, so that no zone depends on its own link alone.
 
-Whatever reaches one zone first, whole, goes on to the others as a difference. A
-zone that the store turns away, or whose link to it is narrow, is told in time.
+A payload that reaches one zone first, as a whole, is relayed to the others as a
+patch. A zone that the store refuses, or whose link to it is narrow, thus gets
+changes in time.
 """
 
 import asyncio
@@ -17,21 +18,22 @@
 from linnetwood.wire.frames import FrameStream
 
 _CHECK_EVERY_S = 0.25
-# Whoever knows nothing yet waits for somebody to hear.
+# Shorter for an entry that knows no revision yet and waits for a relay.
 _STARTUP_CHECK_EVERY_S = 0.02
-# A neighbour that tells is found sooner, also at a start.
+# A relay of the own zone is found sooner than this, also at a start.
 _ISOLATED_AFTER_S = 0.3
-# Whoever knows nothing is told the whole range, 60 KB with 1,900 routes.
+# An entry without a revision gets the whole range from each zone: 60 KB with
+# 1,900 routes.
 _STARTUP_ZONES = 2
-# Whoever was lost goes on hearing other zones for so long: it is told by these
-# within a round trip, and would be lost again as soon as it left them.
+# An isolated entry stays subscribed to other zones for this time. Their updates
+# arrive within a round trip; if it then left, it would be isolated again.
 _STAY_SUBSCRIBED_S = 5.0
 
 
 class RemoteZoneSubscriber(Owner):
     """Own a connection to each of a few other zones, while they are needed.
 
-    Those that a zone hears need them, and whoever hears nobody else.
+    The relays of a zone need them, and any entry that is isolated.
     """
 
     def __init__(
@@ -41,7 +43,7 @@
         dialler: Dialler,
         port: int,
     ) -> None:
-        """All entries tell on one port."""
+        """Connect to relays on one port, the same on all entries."""
         super().__init__()
         self._follower = follower
         self._selector = selector
@@ -53,7 +55,7 @@
         self._zone_tasks: dict[str, asyncio.Task[None]] = {}
 
     async def close(self) -> None:
-        """Stop listening."""
+        """End the task and all subscriptions."""
         await super().close()
         await self._subscribe_only_to([])
 
@@ -129,13 +131,13 @@
         )
         while True:
             if mirror.revision != known_revision:
-                # What is known here need not be told.
+                # Changes that are known here need not be sent.
                 known_revision = mirror.revision
                 await reader.request()
             update = await reader.read()
             self._remote_zones.note_success(host)
             self._follower.apply_remote_update(update)
             if update.preferred and host not in update.preferred:
-                # It hears these itself; they hear the store.
+                # The named relays reach the store; this one subscribes to them.
                 self._remote_zones.prefer(zone, update.preferred)
                 raise WireError('teller-names-another', update.preferred[0])
