--- a/src/linnetwood/fleet/cooldown.py
+++ b/src/linnetwood/fleet/cooldown.py
@@ -1,4 +1,4 @@
-"""Leave what failed alone for a while, longer each time; no I/O or clock."""
+"""Exponential cooldown of hosts that failed; no I/O or clock."""
 
 from random import Random
 
@@ -10,22 +10,22 @@
 
 
 class Cooldown:
-    """Hold until when each is left alone."""
+    """Hold until when each host that failed is not to be tried."""
 
     __slots__ = ('_failures', '_rng', '_until')
 
     def __init__(self, rng: Random) -> None:
-        """Leave nobody alone."""
+        """Start with every host available."""
         self._rng = rng
         self._failures: dict[str, int] = {}
         self._until: dict[str, float] = {}
 
     def is_available(self, name: str, now: float) -> bool:
-        """Tell whether one may be tried."""
+        """Return whether a host may be tried."""
         return self._until.get(name, now) <= now
 
     def note_failure(self, name: str, now: float) -> None:
-        """Leave one alone for a while."""
+        """Begin a cooldown, longer with each failure in a row."""
         failures = self._failures.get(name, 0)
         self._failures[name] = failures + 1
         self._until[name] = now + pause_s(
@@ -37,14 +37,14 @@
         )
 
     def note_success(self, name: str) -> None:
-        """Forget the failures of one that tells."""
+        """Forget the failures of a host; a cooldown that runs goes on."""
         self._failures.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Forget one that has gone."""
+        """Forget a host."""
         self._failures.pop(name, None)
         self._until.pop(name, None)
 
     def names(self) -> set[str]:
-        """Give those that failed."""
+        """Return the hosts that failed and were not forgotten."""
         return set(self._until)
--- a/src/linnetwood/fleet/latestnotice.py
+++ b/src/linnetwood/fleet/latestnotice.py
@@ -1,35 +1,40 @@
-"""What answers of an engine said last of it; no I/O or clock.
+"""The latest notice that an engine gave in its answers; no I/O or clock.
 
-Entries tell the process beside the engine, which tells all that hear it: else
-each would find out alone, by calls that the engine can't bear, and hear of the
-end only when its own turn comes.
+Entries pass a notice on to the process beside the engine, which includes it in
+its load reports to all entries. Otherwise each entry would learn of a limit by
+calls of its own, which the engine can't bear, and of an engine that leaves only
+by its own next call.
 """
 
 from linnetwood.gen.wire.ttypes import EngineSaid
 
 _MILLISECONDS = 1000
-# What is new goes into every report for so long, since some are lost; after
-# that all entries hear it once in so many seconds, so that it costs few bytes.
-# No usual pace of reports divides them: else some would always miss it.
+# A new notice goes into every report for this time, since some reports are
+# lost. After that it reaches all entries once in the repeat time, so that it
+# costs few bytes. No usual interval of reports divides the repeat time:
+# otherwise some entries would always miss the notice.
 _NEW_FOR_S = 0.6
 _REPEAT_EVERY_S = 3.73
-# Entries of other zones hear every second report.
+# Entries of other zones get every second report.
 _REPORTS_PER_ROUND = 2
 
 
 class LatestNotice:
-    """Hold the newest word of whichever life stands beside this process."""
+    """Hold the newest notice of the incarnation beside this process."""
 
     __slots__ = ('_received_at', '_changed_at', '_notice')
 
     def __init__(self) -> None:
-        """Know of no answer."""
+        """Start without a notice."""
         self._notice: EngineSaid | None = None
         self._received_at = float()
         self._changed_at = float()
 
     def update(self, notice: EngineSaid, now: float) -> None:
-        """Take in an entry's word; a life that leaves does so for good."""
+        """Take a notice from an entry.
+
+        An incarnation that is leaving stays so, whatever a later notice says.
+        """
         previous = self._notice
         if previous is not None and previous.life == notice.life:
             notice.leaving = notice.leaving or previous.leaving
@@ -39,7 +44,10 @@
         self._received_at = now
 
     def for_report(self, now: float, every_s: float) -> EngineSaid | None:
-        """Give what goes into reports of now, which are so far apart."""
+        """Return the notice for reports of now, or None.
+
+        every_s is the interval of reports in seconds.
+        """
         if self._notice is None:
             return None
         unchanged_s = now - self._changed_at
--- a/src/linnetwood/fleet/neighbours.py
+++ b/src/linnetwood/fleet/neighbours.py
@@ -4,15 +4,15 @@
 
 from linnetwood.fleet.members import HASH_BYTES, hash64
 
-# As many values as a place on the ring may have.
+# The number of possible hash values.
 _HASH_VALUES = float(1 << (8 * HASH_BYTES))
 
 
 def neighbours(me: str, vms: list[str], manifest: str, count: int) -> list[str]:
-    """Give the VMs at agreed random distances on both sides of this one.
+    """Return count VMs at agreed random distances on both sides of this one.
 
-    Two VMs with the same view choose each other, and the graph over all VMs is
-    a random one, whose diameter grows with the logarithm of the fleet.
+    Two VMs with the same list of VMs choose each other. The graph over all VMs
+    is random, and its diameter grows with the logarithm of their number.
     """
     ring = sorted(set(vms) | {me}, key=hash64)
     if len(ring) <= count + 1:
@@ -33,13 +33,13 @@
 def partners(
     me: str, vms: Iterable[str], manifest: str, count: int
 ) -> list[str]:
-    """Give about so many VMs that are paired with this one by chance.
+    """Return about count VMs that are paired with this one at random.
 
-    A pair is one by the hash of both names, so that both sides agree and a VM
-    that comes or goes changes no other pair, but for the few that the number of
-    VMs moves over the edge. In `neighbours` one that comes shifts the places of
-    half of all pairs: while VMs were replaced three times a second, what was
-    known of those beyond was lost as often.
+    The hash of both names decides on a pair, so both sides agree. A VM that
+    comes or goes changes no other pair, but for the few that the new number of
+    VMs moves across the threshold. In `neighbours` a new VM changes half of all
+    pairs: while VMs were replaced 3 times a second, the state held about VMs
+    on the other side of those pairs was lost as often.
     """
     others = [vm for vm in vms if vm != me]
     if len(others) <= count:
--- a/src/linnetwood/fleet/startupsync.py
+++ b/src/linnetwood/fleet/startupsync.py
@@ -1,8 +1,8 @@
-"""Let an entry that starts hear its neighbours while it reads the store.
+"""Let an entry that starts find a relay while it reads the store.
 
-After the restart of a zone of 13, thirteen copies of the range crossed the link
-that its region shares: 9 MB with a configuration of 1,900 routes, five seconds
-at 14 Mbit/s. A neighbour tells the same in 60 KB, and one copy serves all.
+Without this, the restart of a zone of 13 entries sends 13 copies of the range
+over the link that its region shares: 9 MB with a configuration of 1,900 routes,
+5 s at 14 Mbit/s. A relay sends the same in 60 KB, and one copy serves all.
 """
 
 import asyncio
@@ -15,18 +15,18 @@
 from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.relayselector import RelaySelector
 
-# A question and its answer take milliseconds where somebody is there; datagrams
-# may be lost.
+# A request and its answer take milliseconds where an endpoint process is there;
+# datagrams may be lost.
 _REQUEST_EVERY_S = 0.1
-# So long an entry that nobody tells looks for others; what a whole range takes
-# over a link at a third of its rate.
+# An entry that no relay serves looks for others for this time. A whole range
+# takes as long over a link at a third of its rate.
 _SEARCH_LIMIT_S = 1.0
-# So many processes beside engines are asked each time.
+# The number of endpoint processes that get a request each time.
 _HOSTS_PER_REQUEST = 4
 
 
 class StartupSync(Owner):
-    """Own the start of a follower, and look for whom to hear."""
+    """Own the start of a follower, and look for relays."""
 
     def __init__(
         self,
@@ -35,7 +35,10 @@
         find_hosts: Callable[[], Awaitable[list[str]]],
         request_entries: Callable[[list[str]], None],
     ) -> None:
-        """Look up who can name entries, nearest first, and ask some of them."""
+        """Request other entries from hosts that find_hosts returns.
+
+        find_hosts returns the hosts of endpoint processes, nearest first.
+        """
         super().__init__()
         self._follower = follower
         self._selector = selector
@@ -43,8 +46,8 @@
         self._request_entries = request_entries
 
     async def _run(self) -> None:
-        # Whoever is told gives its own read up; where nobody is there to tell,
-        # as after a restart of all, no time is lost.
+        # The follower cancels its own read when a relay sends the range; where
+        # there is no relay, as after a restart of all entries, no time is lost.
         self._follower.start()
         started_at = asyncio.get_running_loop().time()
         try:
@@ -68,7 +71,7 @@
         while not self._is_synced and loop.time() < until:
             self._request_entries(hosts[:_HOSTS_PER_REQUEST])
             await happened(self._follower.synced, _REQUEST_EVERY_S)
-            # The next ones, should these be gone.
+            # The next hosts, in case these are gone.
             hosts = hosts[_HOSTS_PER_REQUEST:] + hosts[:_HOSTS_PER_REQUEST]
 
     @property
