--- a/src/linnetwood/fleet/cooldown.py
+++ b/src/linnetwood/fleet/cooldown.py
@@ -20,15 +20,15 @@
         self._failures: dict[str, int] = {}
         self._until: dict[str, float] = {}
 
-    def is_available(self, name: str, now: float) -> bool:
+    def is_available(self, host: str, now: float) -> bool:
         """Return whether a host may be tried."""
-        return self._until.get(name, now) <= now
+        return self._until.get(host, now) <= now
 
-    def note_failure(self, name: str, now: float) -> None:
+    def note_failure(self, host: str, now: float) -> None:
         """Begin a cooldown, longer with each failure in a row."""
-        failures = self._failures.get(name, 0)
-        self._failures[name] = failures + 1
-        self._until[name] = now + pause_s(
+        failures = self._failures.get(host, 0)
+        self._failures[host] = failures + 1
+        self._until[host] = now + pause_s(
             failures,
             self._rng,
             _FIRST_PAUSE_S,
@@ -36,15 +36,15 @@
             _MIN_PAUSE_SHARE,
         )
 
-    def note_success(self, name: str) -> None:
+    def note_success(self, host: str) -> None:
         """Forget the failures of a host; a cooldown that runs goes on."""
-        self._failures.pop(name, None)
+        self._failures.pop(host, None)
 
-    def forget(self, name: str) -> None:
+    def forget(self, host: str) -> None:
         """Forget a host."""
-        self._failures.pop(name, None)
-        self._until.pop(name, None)
+        self._failures.pop(host, None)
+        self._until.pop(host, None)
 
-    def names(self) -> set[str]:
+    def hosts(self) -> set[str]:
         """Return the hosts that failed and were not forgotten."""
         return set(self._until)
--- a/src/linnetwood/fleet/latestnotice.py
+++ b/src/linnetwood/fleet/latestnotice.py
@@ -22,7 +22,7 @@
 class LatestNotice:
     """Hold the newest notice of the incarnation beside this process."""
 
-    __slots__ = ('_received_at', '_changed_at', '_notice')
+    __slots__ = ('_changed_at', '_notice', '_received_at')
 
     def __init__(self) -> None:
         """Start without a notice."""
--- a/src/linnetwood/fleet/patches.py
+++ b/src/linnetwood/fleet/patches.py
@@ -36,11 +36,11 @@
     added = []
     for _, row in _rows(new):
         offset = offsets.get(row)
-        start, copied, added_bytes = runs[-1]
+        start, copied, added_size = runs[-1]
         if offset is None:
             added.append(row)
             runs[-1][2] += len(row)
-        elif added_bytes or offset != start + copied:
+        elif added_size or offset != start + copied:
             runs.append([offset, len(row), 0])
         else:
             runs[-1][1] += len(row)
@@ -67,12 +67,12 @@
     used = 0
     starts = patch.runs[::_RUN_FIELDS]
     sizes = patch.runs[1::_RUN_FIELDS]
-    for start, size, added_bytes in zip(
+    for start, size, added_size in zip(
         starts, sizes, patch.runs[2::_RUN_FIELDS]
     ):
         yield old[start : start + size]
-        yield patch.added[used : used + added_bytes]
-        used += added_bytes
+        yield patch.added[used : used + added_size]
+        used += added_size
 
 
 def _rows(payload: bytes) -> Iterator[tuple[int, bytes]]:
--- a/src/linnetwood/fleet/rangecodec.py
+++ b/src/linnetwood/fleet/rangecodec.py
@@ -7,7 +7,7 @@
 
 from linnetwood.core.errors import CodecError
 from linnetwood.fleet.mirror import LARGE_BYTES, Mirror
-from linnetwood.fleet.patches import Patch, make_patch, apply_patch
+from linnetwood.fleet.patches import Patch, apply_patch, make_patch
 from linnetwood.fleet.ranges import Change, Record
 from linnetwood.gen.wire.ttypes import RangeItem, RangeItems
 from linnetwood.wire.codec import decode, encode
--- a/src/linnetwood/fleet/rangefollower.py
+++ b/src/linnetwood/fleet/rangefollower.py
@@ -26,8 +26,8 @@
     Change,
     Changes,
     HistoryLostError,
-    RangeStore,
     RangeSink,
+    RangeStore,
     Snapshot,
 )
 
@@ -190,7 +190,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await self._wait_until_due()
-            began = loop.time()
+            started_at = loop.time()
             try:
                 answered = await self._request()
             except HistoryLostError:
@@ -203,7 +203,7 @@
                 self._sink.mark_unreachable()
                 # The time that a hung call took counts as part of the pause, as
                 # the store may be reachable again.
-                left_s = self._pause_s() - (loop.time() - began)
+                left_s = self._pause_s() - (loop.time() - started_at)
                 await asyncio.sleep(max(_MIN_PAUSE_S, left_s))
             else:
                 if answered:
@@ -242,15 +242,17 @@
         return True
 
     async def _read_or_wait(self) -> None:
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         self.first_byte_at = -math.inf
         # An answer that took long must not itself cause another full read.
-        last_at = max(self.confirmed_at, self._answered_at, self._advanced_at)
-        if not self._revision or asked_at - last_at > _REREAD_AFTER_S:
+        last_news_at = max(
+            self.confirmed_at, self._answered_at, self._advanced_at
+        )
+        if not self._revision or requested_at - last_news_at > _REREAD_AFTER_S:
             await self._read()
             return
         # The older the view is, the sooner it must be confirmed.
-        age_s = asked_at - self.confirmed_at
+        age_s = requested_at - self.confirmed_at
         wait_s = self._bounds.wait_s - self._overhead_s - age_s
         wait_s = max(_MIN_WAIT_S, wait_s)
         answer = await hedged(
@@ -261,9 +263,9 @@
         )
         # A wait that ends without changes also confirms the view.
         full_wait_s = 0 if answer.changes else wait_s
-        began_at = self._note_answer(asked_at, full_wait_s)
+        began_at = self._note_answer(requested_at, full_wait_s)
         if not answer.changes:
-            self._overhead_s = max(0, began_at - asked_at - wait_s)
+            self._overhead_s = max(0, began_at - requested_at - wait_s)
         if answer.revision > self._revision:
             # Another entry may have relayed some of these changes meanwhile.
             missing = (
@@ -299,9 +301,9 @@
         )
 
     async def _read(self) -> None:
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         snapshot = await self._store.read(self._prefix)
-        self._note_answer(asked_at)
+        self._note_answer(requested_at)
         if snapshot.revision < self._revision:
             # A relay sent a newer revision meanwhile.
             return
@@ -378,7 +380,7 @@
         age_s = asyncio.get_running_loop().time() - at
         return age_s > self._bounds.max_age_s
 
-    def _note_answer(self, asked_at: float, waited_s: float = 0) -> float:
+    def _note_answer(self, requested_at: float, waited_s: float = 0) -> float:
         """Note an answer of the store; return when it began to arrive.
 
         The store waited for at least waited_s, unless the answer came sooner.
@@ -391,8 +393,8 @@
         began_at = began_at if math.isfinite(began_at) else now
         # An answer is made after its request and may take any time to arrive.
         # Counted from its arrival, the view would seem younger than it is.
-        until = asked_at + waited_s
-        known_at = until if until <= began_at else asked_at
+        until = requested_at + waited_s
+        known_at = until if until <= began_at else requested_at
         self.store_confirmed_at = max(self.store_confirmed_at, known_at)
         self._note_confirmed(known_at)
         return began_at
--- a/src/linnetwood/fleet/rangerelay.py
+++ b/src/linnetwood/fleet/rangerelay.py
@@ -10,11 +10,11 @@
 from linnetwood.core.events import Event, log
 from linnetwood.core.owner import Owner
 from linnetwood.fleet.freshness import RelayedUpdate
-from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
 from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.rangerelayserver import RangeRelayServer
-from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.relayreader import RelayReader
+from linnetwood.fleet.relayselector import RelaySelector
+from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
 from linnetwood.wire.connections import (
     Dialler,
     FrameHandler,
--- a/src/linnetwood/fleet/rangerelayserver.py
+++ b/src/linnetwood/fleet/rangerelayserver.py
@@ -6,9 +6,9 @@
 from linnetwood.core.errors import CodecError, WireError
 from linnetwood.core.waits import happened
 from linnetwood.fleet import hosts
-from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.mirror import LARGE_BYTES, Delta
 from linnetwood.fleet.rangecodec import as_milliseconds, pack
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.gen.wire.ttypes import RangePart, RangeRequest
 from linnetwood.wire.codec import decode, encode
@@ -190,11 +190,11 @@
     """The revisions that one subscriber holds."""
 
     __slots__ = (
-        'known_revision',
-        'requested_at',
-        'is_remote',
         'held_revisions',
+        'is_remote',
+        'known_revision',
         'request_count',
+        'requested_at',
     )
 
     def __init__(self, request: RangeRequest) -> None:
--- a/src/linnetwood/fleet/relayreader.py
+++ b/src/linnetwood/fleet/relayreader.py
@@ -105,9 +105,9 @@
 
     def _forget_before(self, request: int) -> None:
         self._requested_at = {
-            number: at
-            for number, at in self._requested_at.items()
-            if number >= request
+            request_number: requested_at
+            for request_number, requested_at in self._requested_at.items()
+            if request_number >= request
         }
 
 
--- a/src/linnetwood/fleet/relayselector.py
+++ b/src/linnetwood/fleet/relayselector.py
@@ -3,8 +3,8 @@
 from collections.abc import Iterable
 from random import Random
 
-from linnetwood.fleet.remotezoneselector import RemoteZoneSelector, relay_rank
 from linnetwood.fleet.cooldown import Cooldown
+from linnetwood.fleet.remotezoneselector import RemoteZoneSelector, relay_rank
 
 # The number of entries of an availability zone that request the store for all:
 # one, and another that takes over where the first is gone or out of touch.
@@ -24,7 +24,7 @@
     fallback relay and passes no ages on.
     """
 
-    __slots__ = ('_seen_at', '_cooldown', '_rng', 'remote_zones', 'me')
+    __slots__ = ('_cooldown', '_rng', '_seen_at', 'me', 'remote_zones')
 
     def __init__(self, me: str, rng: Random) -> None:
         """Start with no other entry."""
--- a/src/linnetwood/fleet/remotezoneselector.py
+++ b/src/linnetwood/fleet/remotezoneselector.py
@@ -20,7 +20,7 @@
 class RemoteZoneSelector:
     """Hold some entries of each other zone, in an order all agree on."""
 
-    __slots__ = ('_seen_at', '_me', '_preferred', '_cooldown')
+    __slots__ = ('_cooldown', '_me', '_preferred', '_seen_at')
 
     def __init__(self, me: str, rng: Random) -> None:
         """Start with no entry of any zone."""
@@ -77,7 +77,7 @@
             else:
                 self._seen_at.pop(zone)
                 self._preferred.pop(zone, None)
-        for host in self._cooldown.names() - self._all_hosts():
+        for host in self._cooldown.hosts() - self._all_hosts():
             self._cooldown.forget(host)
 
     def _all_hosts(self) -> set[str]:
--- a/src/linnetwood/fleet/remotezonesubscriber.py
+++ b/src/linnetwood/fleet/remotezonesubscriber.py
@@ -12,8 +12,8 @@
 from linnetwood.core.events import Event, log
 from linnetwood.core.owner import Owner
 from linnetwood.fleet.rangefollower import RangeFollower
-from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.fleet.relayreader import RelayReader
+from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.wire.connections import SILENT_S, Dialler
 from linnetwood.wire.frames import FrameStream
 
--- a/src/linnetwood/programs/resident_news.py
+++ b/src/linnetwood/programs/resident_news.py
@@ -5,9 +5,9 @@
 
 from linnetwood.fleet.freshness import bounds_for
 from linnetwood.fleet.rangefollower import RangeFollower
-from linnetwood.fleet.startupsync import StartupSync
 from linnetwood.fleet.rangerelay import RangeRelay
 from linnetwood.fleet.relayselector import RelaySelector
+from linnetwood.fleet.startupsync import StartupSync
 from linnetwood.platform import records
 from linnetwood.platform.feeds import StoreFeed, endpoints
 from linnetwood.platform.settings import Residence
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -6,7 +6,7 @@
 
 from linnetwood.core.errors import CodecError
 from linnetwood.fleet.mirror import LARGE_BYTES, Mirror
-from linnetwood.fleet.patches import Patch, make_patch, apply_patch
+from linnetwood.fleet.patches import Patch, apply_patch, make_patch
 from linnetwood.fleet.rangecodec import pack, unpack
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from tests.test_narrow_regions import configuration
--- a/tests/test_proven_ages.py
+++ b/tests/test_proven_ages.py
@@ -21,8 +21,8 @@
 from linnetwood.core.waits import happened
 from linnetwood.fleet.freshness import bounds_for
 from linnetwood.fleet.rangefollower import RangeFollower
-from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.rangerelay import RangeSubscriber
+from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet, MemoryStream
 from linnetwood.wire.connections import Address
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -11,11 +11,11 @@
 from linnetwood.core.errors import StoreError
 from linnetwood.core.waits import happened
 from linnetwood.fleet.freshness import bounds_for
-from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.mirror import Mirror
-from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
-from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.rangerelay import RangeSubscriber
+from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -7,8 +7,8 @@
 
 from linnetwood.fleet.freshness import RelayedUpdate, bounds_for
 from linnetwood.fleet.rangefollower import RangeFollower
-from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.relayreader import read_update
 from linnetwood.gen.wire.ttypes import RangeRequest
 from linnetwood.lab import virtual
