--- a/src/linnetwood/fleet/patches.py
+++ b/src/linnetwood/fleet/patches.py
@@ -21,7 +21,7 @@
 class Patch:
     """Runs and added bytes that turn an older payload into a newer one.
 
-    The checksum is that of the newer payload.
+    crc32 is the CRC-32 of the newer payload.
     """
 
     runs: Sequence[int]
