--- a/tests/test_asking_in_turn.py
+++ b/tests/test_asking_in_turn.py
@@ -18,10 +18,10 @@
 
 APPLY_S = 3
 ENTRIES = [f'10.0.0.{number}' for number in range(13)]
-WORD = RelayedUpdate(5, 0, 0, 0, 0, whole=False, changes=())
+UPDATE = RelayedUpdate(5, 0, 0, 0, 0, whole=False, changes=())
 
 
-class NotingStore:
+class RecordingStore:
     """Note when it is asked to wait, and never answer that."""
 
     def __init__(self) -> None:
@@ -38,45 +38,47 @@
         raise AssertionError
 
 
-def placed(me: str) -> RelaySelector:
+def selector_of(me: str) -> RelaySelector:
     """Give an entry that knows all others."""
     selector = RelaySelector(me, Random(1))
     selector.note_seen(ENTRIES, 0)
     return selector
 
 
-async def asks_after(me: str) -> float:
+async def request_delay_s(me: str) -> float:
     """Give how long after the last word an entry asks the store."""
-    store = NotingStore()
+    store = RecordingStore()
     bounds = bounds_for(APPLY_S)
     follower = RangeFollower(store, '', RecordingSink(), Random(1), bounds)
-    follower.stagger_position = placed(me).stagger_position
+    follower.stagger_position = selector_of(me).stagger_position
     follower.start()
     await follower.synced.wait()
-    told_at = asyncio.get_running_loop().time()
-    follower.apply_update(WORD)
+    updated_at = asyncio.get_running_loop().time()
+    follower.apply_update(UPDATE)
     store.requested_at.clear()
     await asyncio.sleep(APPLY_S)
     await follower.close()
-    return store.requested_at[0] - told_at
+    return store.requested_at[0] - updated_at
 
 
-class AskingInTurnTest(unittest.TestCase):
+class StaggeredRequestsTest(unittest.TestCase):
     """Let each entry of a zone lose its tellers."""
 
     def test_one_after_the_other(self) -> None:
         """The first asks at once, few within a tenth of a second of it."""
-        times = sorted(virtual.run(asks_after(me)) for me in ENTRIES)
+        times = sorted(virtual.run(request_delay_s(me)) for me in ENTRIES)
         fresh_s = bounds_for(APPLY_S).max_age_s
         self.assertAlmostEqual(times[0], fresh_s, 2)
-        self.assertLessEqual(sum(one < times[0] + 0.1 for one in times), 3)
+        self.assertLessEqual(
+            sum(time_s < times[0] + 0.1 for time_s in times), 3
+        )
         # The last has two fifths of the bound left for its answer.
         self.assertLessEqual(times[-1], 0.6 * APPLY_S + 0.01)
 
-    def test_few_entries_ask_at_once(self) -> None:
+    def test_few_entries_request_at_once(self) -> None:
         """The tellers, and the next one after them."""
         self.assertEqual(RelaySelector('a', Random(1)).stagger_position, 0)
-        counts = sorted(placed(me).stagger_position for me in ENTRIES)
+        counts = sorted(selector_of(me).stagger_position for me in ENTRIES)
         self.assertEqual(counts, [0, 0, 0, *range(1, 11)])
 
 
--- a/tests/test_crowded_news.py
+++ b/tests/test_crowded_news.py
@@ -15,7 +15,7 @@
 from tests.test_following import RecordingSink
 
 EVERY_S = 0.01
-SPAN_S = 10
+LASTS_S = 10
 ANSWER_S = 0.004
 
 
@@ -47,7 +47,7 @@
         return Changes((change,), self.revision)
 
 
-async def followed(apply_s: float) -> tuple[float, float]:
+async def calls_and_age(apply_s: float) -> tuple[float, float]:
     """Follow for a while; give calls a second and the oldest belief."""
     store = BusyStore()
     bounds = bounds_for(apply_s)
@@ -55,21 +55,21 @@
     follower.start()
     await follower.synced.wait()
     oldest_s = float()
-    for _ in range(round(SPAN_S / EVERY_S)):
+    for _ in range(round(LASTS_S / EVERY_S)):
         await asyncio.sleep(EVERY_S)
         behind = store.revision - follower.revision
         oldest_s = max(oldest_s, behind * EVERY_S)
     await follower.close()
-    return store.calls / SPAN_S, oldest_s
+    return store.calls / LASTS_S, oldest_s
 
 
-class CrowdedNewsTest(unittest.TestCase):
+class FrequentChangesTest(unittest.TestCase):
     """Follow a store that changes all the time."""
 
     def test_calls_are_bounded(self) -> None:
         """Ten or five calls a second, and a belief of a tenth of its bound."""
         for apply_s, most_calls in ((2, 10), (4, 5)):
-            calls, oldest_s = virtual.run(followed(apply_s))
+            calls, oldest_s = virtual.run(calls_and_age(apply_s))
             with self.subTest(apply_s=apply_s):
                 self.assertLessEqual(calls, most_calls)
                 self.assertLess(oldest_s, apply_s / 10)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -24,7 +24,7 @@
 
 Step = Snapshot | Changes | StoreError
 Query = dict[str, list[str]]
-Asked = tuple[str, Query]
+Requested = tuple[str, Query]
 
 
 class ScriptedStore:
@@ -78,23 +78,23 @@
 TWO = Change('k', Record(b'2', 6))
 
 
-class FollowingTest(unittest.IsolatedAsyncioTestCase):
+class RangeFollowerTest(unittest.IsolatedAsyncioTestCase):
     """Read once, then wait; begin again where history is lost."""
 
-    async def follow(self, *steps: Step) -> tuple[ScriptedStore, RecordingSink]:
+    async def play(self, *steps: Step) -> tuple[ScriptedStore, RecordingSink]:
         """Play all steps."""
         store = ScriptedStore(*steps)
-        kept = RecordingSink()
-        follower = RangeFollower(store, '', kept, Random(1))
+        sink = RecordingSink()
+        follower = RangeFollower(store, '', sink, Random(1))
         follower.start()
         async with asyncio.timeout(60):
             await store.done.wait()
         await follower.close()
-        return store, kept
+        return store, sink
 
     async def test_reads_once_and_goes_on_from_there(self) -> None:
         """Each wait begins where the last one ended."""
-        store, kept = await self.follow(
+        store, sink = await self.play(
             Snapshot({'k': ONE}, 5),
             Changes((), 5),
             Changes((TWO,), 6),
@@ -103,41 +103,45 @@
             store.requests,
             [('read', 0), ('wait', 5), ('wait', 5), ('wait', 6)],
         )
-        self.assertEqual(kept.calls, [{'k': ONE}, TWO])
+        self.assertEqual(sink.calls, [{'k': ONE}, TWO])
 
     async def test_lost_history_is_read_again(self) -> None:
         """What can't be told is read whole; the store was not away for that."""
-        store, kept = await self.follow(
+        store, sink = await self.play(
             Snapshot({'k': ONE}, 5),
             HistoryLostError('store-history-lost'),
             Snapshot({}, 9),
         )
         self.assertEqual(
-            [one for one, _ in store.requests][2:], ['read', 'wait']
+            [call for call, _ in store.requests][2:], ['read', 'wait']
         )
-        self.assertEqual(kept.calls, [{'k': ONE}, {}])
+        self.assertEqual(sink.calls, [{'k': ONE}, {}])
 
-    async def test_store_that_is_away_comes_back(self) -> None:
+    async def test_an_unreachable_store_comes_back(self) -> None:
         """What was learned stays, and waiting goes on from there."""
-        store, kept = await self.follow(
+        store, sink = await self.play(
             StoreError('store-unreachable'),
             Snapshot({'k': ONE}, 5),
             StoreError('store-unreachable'),
             Changes((TWO,), 6),
         )
-        self.assertEqual(kept.calls, ['away', {'k': ONE}, 'away', TWO])
+        self.assertEqual(sink.calls, ['away', {'k': ONE}, 'away', TWO])
         self.assertEqual(store.requests[-2:], [('wait', 5), ('wait', 6)])
 
-    async def test_knows_when_the_store_was_heard(self) -> None:
+    async def test_knows_when_the_view_was_confirmed(self) -> None:
         """Good answers count, empty ones too; failures and lost history not."""
         first = Snapshot({'k': ONE}, 5)
-        away = StoreError('store-unreachable')
+        failure = StoreError('store-unreachable')
         cases: tuple[tuple[str, tuple[Step, ...], int], ...] = (
-            ('never', (away,), 0),
-            ('read', (first, away, away), 1),
+            ('never', (failure,), 0),
+            ('read', (first, failure, failure), 1),
             ('a wait that ends empty', (first, Changes((), 5)), 2),
-            ('changes', (first, Changes((TWO,), 6), away), 2),
-            ('lost', (first, HistoryLostError('store-history-lost'), away), 1),
+            ('changes', (first, Changes((TWO,), 6), failure), 2),
+            (
+                'lost',
+                (first, HistoryLostError('store-history-lost'), failure),
+                1,
+            ),
         )
         loop = asyncio.get_running_loop()
         for name, steps, nth in cases:
@@ -184,13 +188,15 @@
         self.driver.close()
         await self.server.close()
 
-    def asked(self) -> list[Asked]:
+    def requested(self) -> list[Requested]:
         """Give the paths and queries that were asked."""
-        targets = [one.split(b' ')[1].decode() for one in self.server.requests]
-        parts = [urlsplit(one) for one in targets]
+        targets = [
+            request.split(b' ')[1].decode() for request in self.server.requests
+        ]
+        urls = [urlsplit(target) for target in targets]
         return [
-            (one.path, parse_qs(one.query, keep_blank_values=True))
-            for one in parts
+            (url.path, parse_qs(url.query, keep_blank_values=True))
+            for url in urls
         ]
 
     async def test_pages_are_joined_at_the_first_revision(self) -> None:
@@ -215,10 +221,10 @@
             dict(found.records),
             {'a': Record(b'x', 3), 'b': Record(b'y', 4)},
         )
-        second = self.asked()[1][1]
+        second = self.requested()[1][1]
         self.assertEqual(second['after_revision'], ['a'])
 
-    async def test_later_page_is_asked_for_again(self) -> None:
+    async def test_a_later_page_is_requested_again(self) -> None:
         """A read goes on from the page that failed, and not for ever."""
         first = answer(
             200,
@@ -240,15 +246,15 @@
             with self.subTest(name=name):
                 self.server.requests.clear()
                 self.server.answers = list(answers)
-                found = await self.revision_read()
-                queries = [query for _, query in self.asked()]
+                found = await self.read_revision()
+                queries = [query for _, query in self.requested()]
                 self.assertEqual(
-                    [one.get('after_revision', [''])[0] for one in queries],
+                    [query.get('after_revision', [''])[0] for query in queries],
                     places,
                 )
                 self.assertEqual(found, revision)
 
-    async def revision_read(self) -> int | None:
+    async def read_revision(self) -> int | None:
         """Read a range, if that can be done."""
         try:
             return (await self.store.read('op/')).revision
@@ -275,7 +281,7 @@
             found,
             Changes((Change('a', Record(b'x', 3)), gone), 4),
         )
-        path, query = self.asked()[0]
+        path, query = self.requested()[0]
         self.assertEqual(path, '/linnetwood/kv-watch')
         self.assertEqual(
             query,
@@ -286,7 +292,7 @@
             },
         )
 
-    async def test_troubles_are_coded(self) -> None:
+    async def test_errors_have_codes(self) -> None:
         """Each trouble is an error of the store's layer."""
         cases: tuple[tuple[bytes, str], ...] = (
             (answer(410), 'store-history-lost'),
@@ -296,14 +302,14 @@
             (answer(200, []), 'store-bad-answer'),
             (answer(200, {'events': [{}], 'timestamp': 1}), 'store-bad-answer'),
         )
-        for said, code in cases:
-            with self.subTest(said=said[:20]):
-                self.server.answers = [said, said]
+        for reply, code in cases:
+            with self.subTest(reply=reply[:20]):
+                self.server.answers = [reply, reply]
                 with self.assertRaises(StoreError) as caught:
                     await self.store.wait('', 2, 1)
                 self.assertEqual(caught.exception.code, code)
 
-    async def test_calls_are_seen(self) -> None:
+    async def test_calls_are_logged(self) -> None:
         """What brought changes or failed is told, and a quiet wait is not."""
         body = {'events': [row('op/config', 'xyz', 3)], 'timestamp': 3}
         quiet = {'events': [], 'timestamp': 3}
@@ -314,7 +320,7 @@
             self.server.answers = [answer(503)]
             with self.assertRaises(StoreError):
                 await self.store.wait('', 3, 1)
-        first, second = (one.__dict__ for one in logged.records)
+        first, second = (logged_line.__dict__ for logged_line in logged.records)
         self.assertEqual(
             (first['call'], first['asked'], first['got']),
             ('wait', 2, 3),
@@ -327,7 +333,7 @@
         self.assertEqual((second['asked'], second['detail']), (3, 'status 503'))
         self.assertNotIn('got', second)
 
-    async def test_a_silent_store_is_seen(self) -> None:
+    async def test_a_silent_store_is_logged(self) -> None:
         """A call without an answer tells that no head came, and how long."""
         self.server.answers = [b'']
         with self.assertLogs('linnetwood') as logged:
@@ -339,16 +345,16 @@
         self.assertEqual((seen['head_s'], seen['silent_s']), (-1, -1))
         self.assertGreater(seen['end_s'], 0)
 
-    async def test_a_range_that_is_none(self) -> None:
+    async def test_malformed_pages_are_refused(self) -> None:
         """A page without what it must hold ends no task."""
         cases: tuple[Any, ...] = (
             {},
             {'items': [{}], 'has_more': False, 'timestamp': 1},
             {'items': [row('a', 'x', 1)], 'has_more': False},
         )
-        for said in cases:
-            with self.subTest(said=said):
-                self.server.answers = [answer(200, said)]
+        for reply in cases:
+            with self.subTest(reply=reply):
+                self.server.answers = [answer(200, reply)]
                 with self.assertRaises(StoreError) as caught:
                     await self.store.read('')
                 self.assertEqual(caught.exception.code, 'store-bad-answer')
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -17,11 +17,11 @@
     played,
 )
 
-WHOLE = len(configuration(1, ROUTES)) * 4 // 3
-KEPT = 1
+WHOLE_BYTES = len(configuration(1, ROUTES)) * 4 // 3
+KEPT_ENTRIES = 1
 
 
-class StartsTest(unittest.TestCase):
+class StartupSyncTest(unittest.TestCase):
     """Restart entries, and see what crosses the link."""
 
     def test_most_of_a_zone(self) -> None:
@@ -29,12 +29,12 @@
 
         async def act(regions: Regions) -> None:
             regions.links.sent.clear()
-            started = await restart(regions, regions.of('far')[KEPT:])
+            started = await restart(regions, regions.of('far')[KEPT_ENTRIES:])
             await asyncio.sleep(1)
             self.assertEqual(
-                [one.follower.revision for one in started], [1] * 4
+                [entry.follower.revision for entry in started], [1] * 4
             )
-            self.assertLess(regions.links.sent[ZONES[0], 'far'], WHOLE)
+            self.assertLess(regions.links.sent[ZONES[0], 'far'], WHOLE_BYTES)
 
         played(act)
 
@@ -45,8 +45,12 @@
             regions.links.sent.clear()
             started = await restart(regions, list(regions.entries))
             await asyncio.sleep(4)
-            self.assertEqual({one.follower.revision for one in started}, {1})
-            self.assertLess(regions.links.sent[ZONES[0], 'far'], 4 * WHOLE)
+            self.assertEqual(
+                {entry.follower.revision for entry in started}, {1}
+            )
+            self.assertLess(
+                regions.links.sent[ZONES[0], 'far'], 4 * WHOLE_BYTES
+            )
 
         played(act)
 
@@ -57,11 +61,11 @@
 ) -> list[RegionEntry]:
     """Kill entries and start them again, knowing nothing."""
     started = []
-    for one in entries:
-        await regions.kill(one)
-        started.append(regions.add(one.name))
-    for one in started:
-        one.start()
+    for entry in entries:
+        await regions.kill(entry)
+        started.append(regions.add(entry.name))
+    for entry in started:
+        entry.start()
     return started
 
 
--- a/tests/test_late_requests.py
+++ b/tests/test_late_requests.py
@@ -18,19 +18,19 @@
 from linnetwood.wire.frames import FrameStream
 from tests import test_relaying as zones
 
-READ_LATE_S = 0.4
+READ_DELAY_S = 0.4
 SETTLED_S = 2.0
 LASTS_S = 8.0
 
 
-async def _too_old_s() -> float:
+async def _overstated_s() -> float:
     """Give how much too old words count once the teller keeps up again."""
     net = MemoryNet(Random(1), 0, 0)
     entry = zones.Entry('10.0.0.1', zones.FarStore(), net)
 
     async def accept(stream: FrameStream) -> None:
         frame = await stream.read()
-        await asyncio.sleep(READ_LATE_S)
+        await asyncio.sleep(READ_DELAY_S)
         await entry.relay_server.serve(stream, frame)
 
     entry.follower.start()
@@ -38,13 +38,13 @@
     address = (entry.name, zones.PORT)
     net.accepting[address] = accept
     stream = await MemoryDialler(net).dial(address)
-    hearing = RelayReader(stream, Mirror(), entry.name)
-    await hearing.request()
+    reader = RelayReader(stream, Mirror(), entry.name)
+    await reader.request()
     loop = asyncio.get_running_loop()
     began = loop.time()
     worst_s = float()
     while loop.time() < began + LASTS_S:
-        update = await hearing.read()
+        update = await reader.read()
         if loop.time() > began + SETTLED_S:
             truth_s = loop.time() - entry.follower.confirmed_at
             worst_s = max(worst_s, update.age_s - truth_s)
@@ -57,9 +57,9 @@
 class LateRequestsTest(unittest.TestCase):
     """Requests are read late, once."""
 
-    def test_words_in_time_are_not_old_for_long(self) -> None:
+    def test_updates_in_time_are_not_old_for_long(self) -> None:
         """No word that comes at once counts a beat too old."""
-        self.assertLess(virtual.run(_too_old_s()), HEARTBEAT_S)
+        self.assertLess(virtual.run(_overstated_s()), HEARTBEAT_S)
 
 
 if __name__ == '__main__':
--- a/tests/test_narrow_regions.py
+++ b/tests/test_narrow_regions.py
@@ -69,8 +69,8 @@
         }
         for number in range(routes)
     ]
-    said = {'version': version, 'routes': rows, 'services': []}
-    return json.dumps(said, separators=(',', ':')).encode()
+    stored = {'version': version, 'routes': rows, 'services': []}
+    return json.dumps(stored, separators=(',', ':')).encode()
 
 
 def version_of(payload: bytes) -> int:
@@ -107,7 +107,7 @@
         self._zone = zone
         self._links = links
 
-    async def carry(self, size: int, heard: Callable[[], None]) -> None:
+    async def carry(self, size: int, on_bytes: Callable[[], None]) -> None:
         """Wait for the time that bytes take; values are told in base64."""
         loop = asyncio.get_running_loop()
         left = size * 4 // 3
@@ -117,7 +117,7 @@
             self.sent += piece
             until = self._links.through_at(ZONES[0], self._zone, piece)
             await asyncio.sleep(until - loop.time())
-            heard()
+            on_bytes()
         await asyncio.sleep(ROUND_TRIP_S)
 
 
@@ -178,7 +178,7 @@
             PORT,
         )
         self.relay_server = RangeRelayServer(self.follower, self.selector)
-        self.on_request: Callable[[Entry], None] = nobody
+        self.on_request: Callable[[Entry], None] = name_none
         self.startup_sync = StartupSync(
             self.follower,
             self.selector,
@@ -208,7 +208,7 @@
         loop.call_later(ROUND_TRIP_S, self.on_request, self)
 
 
-def nobody(one: Entry) -> None:
+def name_none(entry: Entry) -> None:
     """Name no other entry."""
 
 
@@ -234,8 +234,8 @@
             asyncio.create_task(self._announce()),
             asyncio.create_task(self._observe()),
         ]
-        for one in self.entries:
-            one.start()
+        for entry in self.entries:
+            entry.start()
         await asyncio.sleep(20)
         self.late_s.clear()
         self.links.sent.clear()
@@ -243,8 +243,8 @@
     async def close(self) -> None:
         for task in self._tasks:
             task.cancel()
-        for one in self.entries:
-            await one.close()
+        for entry in self.entries:
+            await entry.close()
         await self.net.close()
 
     def write(self, version: int, routes: int = ROUTES) -> None:
@@ -255,10 +255,10 @@
 
     def add(self, name: str) -> RegionEntry:
         """Put an entry there; the caller starts it."""
-        one = RegionEntry(name, self.stores[zone_of(name)], self.net)
-        one.on_request = self._name_entries
-        self.entries.append(one)
-        return one
+        entry = RegionEntry(name, self.stores[zone_of(name)], self.net)
+        entry.on_request = self._name_entries
+        self.entries.append(entry)
+        return entry
 
     async def kill(self, entry: RegionEntry) -> None:
         """End a process without a word."""
@@ -268,7 +268,7 @@
 
     def of(self, zone: str) -> list[RegionEntry]:
         """Give the entries of a zone."""
-        return [one for one in self.entries if zone_of(one.name) == zone]
+        return [entry for entry in self.entries if zone_of(entry.name) == zone]
 
     def behind(self) -> dict[str, int]:
         """Give what entries hold that lack the newest version."""
@@ -278,33 +278,33 @@
 
     async def _announce(self) -> None:
         while True:
-            for one in self.entries:
-                self._name_entries(one)
+            for entry in self.entries:
+                self._name_entries(entry)
             await asyncio.sleep(1)
 
-    def _name_entries(self, one: Entry) -> None:
+    def _name_entries(self, entry: Entry) -> None:
         now = asyncio.get_running_loop().time()
         for zone in ZONES:
             names = [other.name for other in self.of(zone)]
-            if one.name in names:
-                one.selector.note_seen(names, now)
+            if entry.name in names:
+                entry.selector.note_seen(names, now)
             else:
                 # As an endpoint process that heard two of them.
-                one.selector.remote_zones.note_seen(zone, names[:2], now)
+                entry.selector.remote_zones.note_seen(zone, names[:2], now)
 
     async def _observe(self) -> None:
         """Note for how long each version was lacking somewhere, at most."""
         while True:
             now = asyncio.get_running_loop().time()
-            for one in self.entries:
-                held = version_of(one.sink.payload)
-                lacking = [at for at in self._after(held) if at < now]
-                late_s = now - min(lacking, default=now)
-                known_s = self.late_s.get(one.name, 0)
-                self.late_s[one.name] = max(known_s, late_s)
+            for entry in self.entries:
+                held = version_of(entry.sink.payload)
+                missing = [at for at in self._written_after(held) if at < now]
+                late_s = now - min(missing, default=now)
+                known_s = self.late_s.get(entry.name, 0)
+                self.late_s[entry.name] = max(known_s, late_s)
             await asyncio.sleep(0.01)
 
-    def _after(self, held: int) -> Iterable[float]:
+    def _written_after(self, held: int) -> Iterable[float]:
         return (at for version, at in self.written.items() if version > held)
 
 
@@ -354,11 +354,11 @@
 
         played(act)
 
-    def test_a_zone_that_the_store_turns_away(self) -> None:
+    def test_a_zone_that_the_store_refuses(self) -> None:
         """It hears of a change from the others, within the bound."""
 
         async def act(regions: Regions) -> None:
-            names = [one.name for one in regions.of('far')]
+            names = [entry.name for entry in regions.of('far')]
             regions.stores['far'].cut.update(names)
             await asyncio.sleep(2 * APPLY_S)
             regions.write(2)
@@ -367,23 +367,23 @@
 
         played(act)
 
-    def test_a_zone_whose_tellers_stand_still(self) -> None:
+    def test_a_zone_whose_relays_are_suspended(self) -> None:
         """Its entries hear other zones, in place of the store in a crowd."""
 
         async def act(regions: Regions) -> None:
             now = asyncio.get_running_loop().time()
-            leading = [
-                one for one in regions.of('far') if one.selector.is_relay
+            relays = [
+                entry for entry in regions.of('far') if entry.selector.is_relay
             ]
-            for one in leading:
-                regions.net.frozen_until[(one.name, PORT)] = now + 2 * APPLY_S
-                regions.stores['far'].cut.add(one.name)
+            for entry in relays:
+                regions.net.frozen_until[(entry.name, PORT)] = now + 2 * APPLY_S
+                regions.stores['far'].cut.add(entry.name)
             await asyncio.sleep(0.1)
             for version in range(2, 9):
                 regions.write(version)
                 await asyncio.sleep(0.4)
             await asyncio.sleep(1)
-            names = {one.name for one in leading}
+            names = {entry.name for entry in relays}
             self.assertLessEqual(regions.behind().keys(), names)
             late_s = [
                 late_s
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -50,17 +50,21 @@
         """The dead are counted with the rest, so the others keep theirs."""
         intent = Intent(model='m', version='v', replicas=20)
         deployment = Deployment(intents=[intent])
-        living = [copy(member(f'vm-{one}'), kind='engine') for one in range(20)]
-        fallen = [
-            copy(one, status=int(Health.DEAD)) if one.vm == 'vm-7' else one
-            for one in living
+        before = [
+            copy(member(f'vm-{engine}'), kind='engine') for engine in range(20)
+        ]
+        after = [
+            copy(engine, status=int(Health.DEAD))
+            if engine.vm == 'vm-7'
+            else engine
+            for engine in before
         ]
         rings = [
             sorted(assigned_with_failed(deployment, members, intent))
-            for members in (living, fallen)
+            for members in (before, after)
         ]
         self.assertEqual(rings[0], rings[1])
-        self.assertEqual(len(assign_intents(deployment, fallen)), 19)
+        self.assertEqual(len(assign_intents(deployment, after)), 19)
 
 
 class PartnersTest(unittest.TestCase):
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -11,7 +11,7 @@
 from linnetwood.fleet.ranges import Change, Record, Snapshot
 from tests.test_narrow_regions import configuration
 
-MOST = 1000000
+MAX_BYTES = 1000000
 rows = strategies.lists(strategies.sampled_from([b'{a', b'{b', b'c', b'{']))
 payloads = rows.map(b''.join) | strategies.binary(max_size=60)
 
@@ -30,9 +30,9 @@
     """Make the newer payload of the older one."""
 
     @given(payloads, payloads)
-    def test_it_makes_the_newer_one(self, old: bytes, new: bytes) -> None:
+    def test_it_gives_the_newer_payload(self, old: bytes, new: bytes) -> None:
         """Whatever the two are."""
-        self.assertEqual(apply_patch(old, make_patch(old, new), MOST), new)
+        self.assertEqual(apply_patch(old, make_patch(old, new), MAX_BYTES), new)
 
     def test_a_small_change_is_small(self) -> None:
         """One route of 1,900 takes less than a row of them and a few runs."""
@@ -45,7 +45,7 @@
         strategies.binary(max_size=9),
         strategies.integers(0, 9),
     )
-    def test_what_is_no_patch_is_refused(
+    def test_malformed_patches_are_refused(
         self,
         old: bytes,
         runs: list[int],
@@ -54,13 +54,13 @@
     ) -> None:
         """A coded error, or by chance a payload with the right check."""
         try:
-            made = apply_patch(old, Patch(runs, added, check), 30)
+            payload = apply_patch(old, Patch(runs, added, check), 30)
         except CodecError:
             return
-        self.assertLessEqual(len(made), 30 + len(added))
+        self.assertLessEqual(len(payload), 30 + len(added))
 
 
-class TellingTest(unittest.TestCase):
+class EncodingTest(unittest.TestCase):
     """Tell a large payload to those who hold another version of it."""
 
     def setUp(self) -> None:
@@ -73,15 +73,19 @@
         packed = pack([self.change], {'k': 1}, mirror_of(self.old, self.new))
         self.assertLess(len(packed), LARGE_BYTES / 8)
         found = list(unpack(packed, 0, mirror_of(self.old)))
-        self.assertEqual([one.record for one in found], [self.change.record])
+        self.assertEqual(
+            [change.record for change in found], [self.change.record]
+        )
 
-    def test_against_what_the_teller_has_forgotten(self) -> None:
+    def test_against_what_the_sender_has_forgotten(self) -> None:
         """The whole goes out."""
         packed = pack([self.change], {'k': 1}, mirror_of(b'', self.new))
         found = list(unpack(packed, 0))
-        self.assertEqual([one.record for one in found], [self.change.record])
+        self.assertEqual(
+            [change.record for change in found], [self.change.record]
+        )
 
-    def test_against_what_the_listener_has_forgotten(self) -> None:
+    def test_against_what_the_receiver_has_forgotten(self) -> None:
         """It is an error of the word, after which the listener asks anew."""
         packed = pack([self.change], {'k': 1}, mirror_of(self.old, self.new))
         for mirror in (None, mirror_of(b'', self.new)):
@@ -90,7 +94,7 @@
 
     def test_a_few_versions_are_kept(self) -> None:
         """Four before the newest, also where the range was read anew."""
-        versions = [configuration(one, 100) for one in range(6)]
+        versions = [configuration(number, 100) for number in range(6)]
         mirror = mirror_of(*versions[:5])
         mirror.replace_all(Snapshot({'k': Record(versions[5], 6)}, 6), 0)
         kept = [mirror.payload_at('k', revision) for revision in range(1, 7)]
--- a/tests/test_proven_ages.py
+++ b/tests/test_proven_ages.py
@@ -32,7 +32,7 @@
 
 APPLY_S = 2.0
 LATE_S = 1.5
-STANDS_S = 2.0
+SUSPENDED_S = 2.0
 
 
 class LateStore:
@@ -72,13 +72,13 @@
 
     def understated_s(self, follower: RangeFollower) -> float:
         """Give by how much an entry's belief is younger than the truth."""
-        lacking = self.writes[max(0, follower.revision - 1) :]
+        missing = self.writes[max(0, follower.revision - 1) :]
         return follower.confirmed_at - min(
-            lacking, default=follower.confirmed_at
+            missing, default=follower.confirmed_at
         )
 
 
-async def _lies_of(late_s: float, seed: int) -> float:
+async def _understated_by_late_answers_s(late_s: float, seed: int) -> float:
     """Follow a store whose answers are late; give the worst lie."""
     store = LateStore(late_s)
     rng = Random(seed)
@@ -104,24 +104,26 @@
         for seed in range(4):
             for late_s in (0.005, 0.3, LATE_S):
                 with self.subTest(seed=seed, late_s=late_s):
-                    worst_s = virtual.run(_lies_of(late_s, seed))
+                    worst_s = virtual.run(
+                        _understated_by_late_answers_s(late_s, seed)
+                    )
                     self.assertLessEqual(worst_s, 0)
 
 
-class StillStream(MemoryStream):
+class SuspendedStream(MemoryStream):
     """An end of a connection that is read late, once."""
 
-    stands_until = float()
+    suspended_until = float()
 
     async def read_within(self, silent_s: float) -> Frame:
         """Read what came meanwhile only when the process runs again."""
-        left_s = self.stands_until - asyncio.get_running_loop().time()
+        left_s = self.suspended_until - asyncio.get_running_loop().time()
         if left_s > 0:
             await asyncio.sleep(left_s)
         return await super().read_within(silent_s)
 
 
-class StillDialler(MemoryDialler):
+class RecordingDialler(MemoryDialler):
     """Dial, and keep hold of what was dialled."""
 
     def __init__(self, net: MemoryNet) -> None:
@@ -132,12 +134,12 @@
         """Connect to a process."""
         stream = await super().dial(address)
         assert isinstance(stream, MemoryStream)
-        stream.__class__ = StillStream
+        stream.__class__ = SuspendedStream
         self.streams.append(stream)
         return stream
 
 
-async def _lie_of_words_read_late() -> tuple[float, float]:
+async def _ages_with_late_updates() -> tuple[float, float]:
     """Let a listener stand still while its teller ends; give how old it is.
 
     That is what it believes, and since when it was told nothing.
@@ -147,44 +149,44 @@
     store = zones.FarStore()
     names = ['10.0.0.1', '10.0.0.2']
     entries = [zones.Entry(name, store, net) for name in names]
-    for one in entries:
-        one.selector.note_seen(names, loop.time())
-    first = next(one for one in entries if one.selector.is_relay)
+    for entry in entries:
+        entry.selector.note_seen(names, loop.time())
+    first = next(entry for entry in entries if entry.selector.is_relay)
     if len(first.selector.relays) > 0:
-        first = next(one for one in entries if not one.selector.relays)
-    second = next(one for one in entries if one is not first)
-    dialler = StillDialler(net)
+        first = next(entry for entry in entries if not entry.selector.relays)
+    second = next(entry for entry in entries if entry is not first)
+    dialler = RecordingDialler(net)
     second.subscriber = RangeSubscriber(
         second.follower, second.selector, dialler, zones.PORT
     )
-    for one in entries:
-        one.start()
+    for entry in entries:
+        entry.start()
     await asyncio.sleep(2)
     store.cut.add(second.name)
-    stands_until = loop.time() + STANDS_S
+    suspended_until = loop.time() + SUSPENDED_S
     for stream in dialler.streams:
-        assert isinstance(stream, StillStream)
-        stream.stands_until = stands_until
+        assert isinstance(stream, SuspendedStream)
+        stream.suspended_until = suspended_until
     await asyncio.sleep(0.3)
     ended_at = loop.time()
     net.drop((first.name, zones.PORT))
     await first.close()
     store.write(b'2')
-    await asyncio.sleep(stands_until - loop.time() + 0.05)
-    believed_s = loop.time() - second.follower.confirmed_at
+    await asyncio.sleep(suspended_until - loop.time() + 0.05)
+    counted_s = loop.time() - second.follower.confirmed_at
     truth_s = loop.time() - ended_at
     await second.close()
     await net.close()
-    return believed_s, truth_s
+    return counted_s, truth_s
 
 
-class LateWordsTest(unittest.TestCase):
+class LateUpdatesTest(unittest.TestCase):
     """Words of a neighbour are read late."""
 
-    def test_age_counts_from_when_the_word_was_said(self) -> None:
+    def test_age_counts_from_when_the_update_was_sent(self) -> None:
         """Also where whoever said it has ended since."""
-        believed_s, truth_s = virtual.run(_lie_of_words_read_late())
-        self.assertGreaterEqual(believed_s, truth_s)
+        counted_s, truth_s = virtual.run(_ages_with_late_updates())
+        self.assertGreaterEqual(counted_s, truth_s)
 
 
 if __name__ == '__main__':
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -52,7 +52,7 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def carry(self, size: int, heard: Callable[[], None]) -> None:
+    async def carry(self, size: int, on_bytes: Callable[[], None]) -> None:
         """Wait for the time that bytes take on the link, a piece in turn."""
         loop = asyncio.get_running_loop()
         while size > 0:
@@ -62,7 +62,7 @@
             begin = max(self._free_at, loop.time())
             self._free_at = begin + piece / LINK_BYTES_PER_S
             await asyncio.sleep(self._free_at - loop.time())
-            heard()
+            on_bytes()
         await asyncio.sleep(ROUND_TRIP_S)
 
 
@@ -94,12 +94,14 @@
         await self._connect()
         # Each write is told, also those that a later one replaced.
         changes = tuple(
-            one
-            for one in store.events
-            if one.record is not None and one.record.revision > after
+            change
+            for change in store.events
+            if change.record is not None and change.record.revision > after
         )
         revision = store.revision
-        await store.carry(_size(one.record for one in changes), self.on_bytes)
+        await store.carry(
+            _size(change.record for change in changes), self.on_bytes
+        )
         return Changes(changes, revision)
 
     async def _connect(self) -> None:
@@ -110,7 +112,9 @@
 
 
 def _size(records: Iterable[Record | None]) -> int:
-    return 100 + sum(len(one.payload) for one in records if one is not None)
+    return 100 + sum(
+        len(record.payload) for record in records if record is not None
+    )
 
 
 class NewestSink:
@@ -126,10 +130,10 @@
         self._take(found.records[KEY])
 
     def apply_changes(self, changes: tuple[Change, ...]) -> None:
-        for one in changes:
-            if one.record is not None:
-                self.ages.append(one.age_s)
-                self._take(one.record)
+        for change in changes:
+            if change.record is not None:
+                self.ages.append(change.age_s)
+                self._take(change.record)
 
     def mark_unreachable(self) -> None:
         self.outages += 1
@@ -146,15 +150,15 @@
         self.name = name
         self.sink = NewestSink()
         self.selector = RelaySelector(name, Random(1))
-        handle = StoreLink(store, name)
+        link = StoreLink(store, name)
         self.follower = RangeFollower(
-            handle,
+            link,
             '',
             self.sink,
             Random(2),
             bounds_for(APPLY_S),
         )
-        handle.on_bytes = self.follower.note_bytes
+        link.on_bytes = self.follower.note_bytes
         self.subscriber = RangeSubscriber(
             self.follower,
             self.selector,
@@ -194,8 +198,8 @@
     async def start(self) -> None:
         """Let everybody learn the range and hear the first of them."""
         self._announcing = asyncio.create_task(self._announce())
-        for one in self.entries:
-            one.start()
+        for entry in self.entries:
+            entry.start()
         await asyncio.sleep(5)
         self.store.sent = 0
         self.store.calls = 0
@@ -203,24 +207,28 @@
     async def close(self) -> None:
         if self._announcing is not None:
             self._announcing.cancel()
-        for one in self.entries:
-            await one.close()
+        for entry in self.entries:
+            await entry.close()
         await self.net.close()
 
     def first_relay(self) -> Entry:
         """Give the entry that hears nobody."""
         now = asyncio.get_running_loop().time()
-        alone = [
-            one for one in self.entries if one.selector.choose(now) is None
+        unsubscribed = [
+            entry
+            for entry in self.entries
+            if entry.selector.choose(now) is None
         ]
-        return alone[0]
+        return unsubscribed[0]
 
     def subscriber_of_first(self) -> Entry:
         """Give an entry that hears the first."""
         now = asyncio.get_running_loop().time()
         name = self.first_relay().name
         return next(
-            one for one in self.entries if one.selector.choose(now) == name
+            entry
+            for entry in self.entries
+            if entry.selector.choose(now) == name
         )
 
     async def kill(self, entry: Entry) -> None:
@@ -233,15 +241,15 @@
     async def _announce(self) -> None:
         while True:
             now = asyncio.get_running_loop().time()
-            names = [one.name for one in self.entries]
-            for one in self.entries:
-                one.selector.note_seen(names, now)
+            names = [entry.name for entry in self.entries]
+            for entry in self.entries:
+                entry.selector.note_seen(names, now)
             await asyncio.sleep(1)
 
 
 def payloads(zone: Zone) -> set[bytes]:
     """Give what the entries hold."""
-    return {one.sink.payload for one in zone.entries}
+    return {entry.sink.payload for entry in zone.entries}
 
 
 def played(act: Callable[[Zone], Awaitable[None]]) -> None:
@@ -275,7 +283,7 @@
 
         played(act)
 
-    def test_few_ask(self) -> None:
+    def test_few_send_requests(self) -> None:
         """While nothing changes one entry waits at the store, for all."""
 
         async def act(zone: Zone) -> None:
@@ -286,17 +294,17 @@
 
         played(act)
 
-    def test_a_teller_that_fails(self) -> None:
+    def test_a_relay_that_fails(self) -> None:
         """All others know a change in time though their teller does not."""
         for name in ('dead', 'frozen', 'cut off from the store'):
             with self.subTest(teller=name):
                 played(functools.partial(self._fail, name))
 
-    def test_all_turned_away(self) -> None:
+    def test_all_refused(self) -> None:
         """All catch up in time though the store was closed to all of them."""
 
         async def act(zone: Zone) -> None:
-            zone.store.cut.update(one.name for one in zone.entries)
+            zone.store.cut.update(entry.name for entry in zone.entries)
             for mark in (b'2', b'3', b'4', b'5', b'6'):
                 await asyncio.sleep(1.8)
                 zone.store.write(mark * LARGE_BYTES)
@@ -304,7 +312,9 @@
             back_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2 * APPLY_S)
             self.assertEqual(payloads(zone), {b'6' * LARGE_BYTES})
-            late_s = max(one.sink.applied_at for one in zone.entries) - back_at
+            late_s = (
+                max(entry.sink.applied_at for entry in zone.entries) - back_at
+            )
             self.assertLess(late_s, APPLY_S)
 
         played(act)
@@ -313,21 +323,23 @@
         """Whoever hears of a change late knows since when it stands."""
 
         async def act(zone: Zone) -> None:
-            late = next(
-                one for one in zone.entries if one is not zone.first_relay()
+            late_entry = next(
+                entry
+                for entry in zone.entries
+                if entry is not zone.first_relay()
             )
-            await late.close()
-            zone.store.cut.add(late.name)
+            await late_entry.close()
+            zone.store.cut.add(late_entry.name)
             zone.store.write(b'2')
             await asyncio.sleep(2)
-            late.start()
+            late_entry.start()
             await asyncio.sleep(0.5)
-            self.assertEqual(late.sink.payload, b'2')
-            self.assertAlmostEqual(late.sink.ages[-1], 2, delta=0.1)
+            self.assertEqual(late_entry.sink.payload, b'2')
+            self.assertAlmostEqual(late_entry.sink.ages[-1], 2, delta=0.1)
 
         played(act)
 
-    def test_word_of_outages(self) -> None:
+    def test_outages_are_relayed(self) -> None:
         """Whoever hears that the store was away doubts what goes missing."""
 
         async def act(zone: Zone) -> None:
@@ -355,11 +367,11 @@
         written_at = loop.time()
         zone.store.write(b'2')
         await asyncio.sleep(APPLY_S)
-        for one in zone.entries:
-            if one is not first:
-                self.assertEqual(one.sink.payload, b'2')
+        for entry in zone.entries:
+            if entry is not first:
+                self.assertEqual(entry.sink.payload, b'2')
                 self.assertLess(
-                    one.sink.applied_at - written_at, APPLY_S * 0.75
+                    entry.sink.applied_at - written_at, APPLY_S * 0.75
                 )
 
 
@@ -374,7 +386,7 @@
     """Whoever takes what a mirror says it lacks holds what the mirror holds."""
 
     @given(WRITES, strategies.integers(0, 30), strategies.integers(0, 30))
-    def test_lack(
+    def test_delta(
         self,
         writes: list[tuple[str, bool]],
         started: int,
@@ -408,25 +420,25 @@
     return held
 
 
-class TellersTest(unittest.TestCase):
+class RelaySelectorTest(unittest.TestCase):
     """Choose whom to hear."""
 
     def test_order(self) -> None:
         """Nobody hears one that hears him, whoever knows whom."""
         names = [f'10.0.0.{number}' for number in range(40)]
         rng = Random(5)
-        hears = {}
+        relay_of = {}
         for name in names:
             selector = RelaySelector(name, Random(1))
             selector.note_seen(rng.sample(names, 20), 0)
-            hears[name] = selector.choose(0)
+            relay_of[name] = selector.choose(0)
         for name in names:
             seen = [name]
-            while hears[seen[-1]] is not None:
-                seen.append(str(hears[seen[-1]]))
+            while relay_of[seen[-1]] is not None:
+                seen.append(str(relay_of[seen[-1]]))
                 self.assertLessEqual(len(seen), len(names))
 
-    def test_one_that_fails_rests(self) -> None:
+    def test_a_failed_relay_has_a_cooldown(self) -> None:
         """The second takes over, and then the store itself."""
         names = [f'10.0.0.{number}' for number in range(5)]
         last = RelaySelector(names[0], Random(1))
--- a/tests/test_relaying_quiet.py
+++ b/tests/test_relaying_quiet.py
@@ -18,15 +18,15 @@
 
 BOUND_S = 3.0
 # What resident entries trust at most (programs/resident_entry.py).
-TRUSTED_S = 0.6 * BOUND_S
-BEAT_S = 0.2
+MAX_AGE_S = 0.6 * BOUND_S
+HEARTBEAT_S = 0.2
 
 
-class Quiet:
+class QuietStore:
     """A store where nothing is written."""
 
     def __init__(self) -> None:
-        self.is_mute = False
+        self.is_silent = False
         self.is_failing = False
         self.requested_at: list[float] = []
 
@@ -39,7 +39,7 @@
         if self.is_failing:
             self.requested_at.append(asyncio.get_running_loop().time())
             raise StoreError('store-unreachable', '')
-        if self.is_mute:
+        if self.is_silent:
             # As the store's client: no first byte (wait_s and 2 s).
             await asyncio.sleep(wait_s + 2)
             raise StoreError('store-unreachable', 'silent')
@@ -47,30 +47,30 @@
         return Changes((), after)
 
 
-def new_follower(store: Quiet) -> RangeFollower:
+def new_follower(store: QuietStore) -> RangeFollower:
     """Give a follower within a bound of three seconds."""
     return RangeFollower(store, '', mock.Mock(), Random(1), bounds_for(BOUND_S))
 
 
-def word(age_s: float, revision: int = 1) -> RelayedUpdate:
+def update_without_changes(age_s: float, revision: int = 1) -> RelayedUpdate:
     """Give a neighbour's word without news."""
     return RelayedUpdate(revision, age_s, math.inf, math.inf, 0, False, ())
 
 
-class FollowingTest(unittest.TestCase):
+class RangeFollowerTest(unittest.TestCase):
     """An entry in a quiet hour."""
 
-    def test_listener_that_loses_its_teller_stays_within_trust(self) -> None:
+    def test_a_subscriber_that_loses_its_relay_stays_up_to_date(self) -> None:
         """Nothing is wrong with the store: no belief gets old."""
 
         async def play() -> None:
-            follower = new_follower(Quiet())
+            follower = new_follower(QuietStore())
             follower.start()
             loop = asyncio.get_running_loop()
             await asyncio.sleep(0.1)
             for _ in range(10):
-                follower.apply_update(word(0.1))
-                await asyncio.sleep(BEAT_S)
+                follower.apply_update(update_without_changes(0.1))
+                await asyncio.sleep(HEARTBEAT_S)
             # The neighbour is gone from now on.
             oldest_s = 0.0
             until = loop.time() + 4
@@ -78,41 +78,43 @@
                 oldest_s = max(oldest_s, loop.time() - follower.confirmed_at)
                 await asyncio.sleep(0.01)
             await follower.close()
-            self.assertLess(oldest_s, TRUSTED_S)
+            self.assertLess(oldest_s, MAX_AGE_S)
 
         virtual.run(play())
 
-    def test_heard_at_never_goes_back(self) -> None:
+    def test_confirmed_at_never_goes_back(self) -> None:
         """An answer that began long ago makes no belief older."""
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
+            link = zones.StoreLink(store, 'me')
             follower = RangeFollower(
-                handle, '', zones.NewestSink(), Random(1), bounds_for(BOUND_S)
+                link, '', zones.NewestSink(), Random(1), bounds_for(BOUND_S)
             )
-            handle.on_bytes = follower.note_bytes
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 3000000)
             # It is turned to another entry while its own answer comes.
             follower.uses_fallback_relay = True
-            furthest_s = 0.0
+            set_back_s = 0.0
             for _ in range(400):
-                follower.apply_update(word(0, follower.revision))
+                follower.apply_update(
+                    update_without_changes(0, follower.revision)
+                )
                 before = follower.confirmed_at
                 await asyncio.sleep(0.01)
-                furthest_s = max(furthest_s, before - follower.confirmed_at)
+                set_back_s = max(set_back_s, before - follower.confirmed_at)
             await follower.close()
-            self.assertEqual(furthest_s, 0)
+            self.assertEqual(set_back_s, 0)
 
         virtual.run(play())
 
-    def test_failures_are_over_when_a_neighbour_tells(self) -> None:
+    def test_failures_are_over_when_a_relay_sends_updates(self) -> None:
         """The first failure after a good hour is a first one."""
 
         async def play() -> None:
-            store = Quiet()
+            store = QuietStore()
             follower = new_follower(store)
             follower.has_relays = True
             follower.start()
@@ -122,8 +124,8 @@
             store.is_failing = False
             # From now on a neighbour tells, all the while.
             for _ in range(300):
-                follower.apply_update(word(0.1))
-                await asyncio.sleep(BEAT_S)
+                follower.apply_update(update_without_changes(0.1))
+                await asyncio.sleep(HEARTBEAT_S)
             store.is_failing = True
             store.requested_at.clear()
             await asyncio.sleep(6)
@@ -133,7 +135,7 @@
 
         virtual.run(play())
 
-    def test_slow_answers_make_nobody_lost(self) -> None:
+    def test_slow_answers_isolate_nobody(self) -> None:
         """What is old because its answer took long needs no other neighbour.
 
         Whoever borrows leaves again as soon as the store has answered: both
@@ -141,7 +143,7 @@
         """
 
         async def play() -> None:
-            follower = new_follower(Quiet())
+            follower = new_follower(QuietStore())
             loop = asyncio.get_running_loop()
             follower._note_answer(loop.time() - 2 * BOUND_S)
             self.assertFalse(follower.is_store_silent)
@@ -167,38 +169,38 @@
             store.write(b'2')
             loop = asyncio.get_running_loop()
             written_at = loop.time()
-            follower.apply_update(word(0))
+            follower.apply_update(update_without_changes(0))
             sink.applied_at = written_at
             while loop.time() < written_at + 2 * BOUND_S:
                 age_s = loop.time() - written_at + 0.5
                 flowing_s = age_s % 0.5
                 update = RelayedUpdate(1, age_s, 0, flowing_s, 0, False, ())
                 follower.apply_update(update)
-                await asyncio.sleep(BEAT_S)
+                await asyncio.sleep(HEARTBEAT_S)
             await follower.close()
             self.assertEqual(sink.payload, b'2')
             self.assertLess(sink.applied_at - written_at, BOUND_S)
 
         virtual.run(play())
 
-    def test_mute_store_makes_lost(self) -> None:
+    def test_a_silent_store_isolates(self) -> None:
         """Who hears nothing for long may hear anybody, failed or not."""
 
         async def play() -> None:
-            store = Quiet()
+            store = QuietStore()
             follower = new_follower(store)
             follower.start()
             await asyncio.sleep(0.95)
-            store.is_mute = True
-            await asyncio.sleep(1 + TRUSTED_S)
-            lost = follower.is_isolated
+            store.is_silent = True
+            await asyncio.sleep(1 + MAX_AGE_S)
+            is_isolated = follower.is_isolated
             await follower.close()
-            self.assertTrue(lost)
+            self.assertTrue(is_isolated)
 
         virtual.run(play())
 
 
-class MuteHandle(zones.StoreLink):
+class SilentLink(zones.StoreLink):
     """A way to a store that gives some entries no answer at all."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
@@ -218,7 +220,7 @@
 class ZoneTest(unittest.TestCase):
     """A zone with a store that is well."""
 
-    def test_store_is_mute_to_the_first(self) -> None:
+    def test_store_is_silent_to_the_first_relay(self) -> None:
         """Whoever hears nobody before it has a change in time, too."""
 
         late_s: list[float] = []
@@ -234,11 +236,11 @@
             late_s.append(first.sink.applied_at - written_at)
 
         for _ in range(20):
-            with mock.patch.object(zones, 'StoreLink', MuteHandle):
+            with mock.patch.object(zones, 'StoreLink', SilentLink):
                 zones.played(act)
         self.assertLess(max(late_s), zones.APPLY_S)
 
-    def test_no_belief_gets_old_when_the_first_ends(self) -> None:
+    def test_no_view_gets_old_when_the_first_relay_ends(self) -> None:
         """The store is well, so nobody need refuse by an old belief."""
 
         async def act(zone: zones.Zone) -> None:
@@ -250,12 +252,12 @@
                 oldest_s = max(
                     oldest_s,
                     *(
-                        loop.time() - one.follower.confirmed_at
-                        for one in zone.entries
+                        loop.time() - entry.follower.confirmed_at
+                        for entry in zone.entries
                     ),
                 )
                 await asyncio.sleep(0.01)
-            self.assertLess(oldest_s, TRUSTED_S)
+            self.assertLess(oldest_s, MAX_AGE_S)
 
         zones.played(act)
 
--- a/tests/test_relaying_seeds.py
+++ b/tests/test_relaying_seeds.py
@@ -11,8 +11,8 @@
 STEPS = 40
 STEP_S = 0.5
 TROUBLE_S = (0.3, 9.0)
-LEAST_SIZE = 10
-MOST_SIZE = 100000
+MIN_BYTES = 10
+MAX_BYTES = 100000
 
 
 class Play:
@@ -32,9 +32,9 @@
             await self.zone.start()
             for _ in range(STEPS):
                 self._act()
-                await self._look_for(STEP_S)
+                await self._check_for(STEP_S)
             self.zone.store.cut.clear()
-            await self._look_for(2 * APPLY_S)
+            await self._check_for(2 * APPLY_S)
         finally:
             await self.zone.close()
 
@@ -46,58 +46,58 @@
     def _write(self) -> None:
         store = self.zone.store
         text = b'%d ' % (store.revision + 1)
-        store.write(text.ljust(self._rng.randint(LEAST_SIZE, MOST_SIZE)))
+        store.write(text.ljust(self._rng.randint(MIN_BYTES, MAX_BYTES)))
         now = asyncio.get_running_loop().time()
         self._written.append((now, store.revision))
 
     def _cut(self) -> None:
         entries = self.zone.entries
         count = self._rng.choice((1, len(entries) // 3, len(entries)))
-        for one in self._rng.sample(entries, count):
-            self.zone.store.cut.add(one.name)
-            self._trouble(one)
+        for entry in self._rng.sample(entries, count):
+            self.zone.store.cut.add(entry.name)
+            self._trouble(entry)
 
     def _freeze(self) -> None:
-        one = self._rng.choice(self.zone.entries)
+        entry = self._rng.choice(self.zone.entries)
         loop = asyncio.get_running_loop()
-        self.zone.store.cut.add(one.name)
-        lasts_s = self._trouble(one)
+        self.zone.store.cut.add(entry.name)
+        lasts_s = self._trouble(entry)
         frozen = self.zone.net.frozen_until
-        frozen[(one.name, PORT)] = loop.time() + lasts_s
+        frozen[(entry.name, PORT)] = loop.time() + lasts_s
 
-    def _trouble(self, one: Entry) -> float:
+    def _trouble(self, entry: Entry) -> float:
         loop = asyncio.get_running_loop()
         lasts_s = self._rng.uniform(*TROUBLE_S)
-        until = max(self._free_at.get(one.name, 0), loop.time() + lasts_s)
-        self._free_at[one.name] = until
-        loop.call_at(until, self._ended, one.name, until)
+        until = max(self._free_at.get(entry.name, 0), loop.time() + lasts_s)
+        self._free_at[entry.name] = until
+        loop.call_at(until, self._ended, entry.name, until)
         return until - loop.time()
 
     def _ended(self, name: str, until: float) -> None:
         if self._free_at.get(name) == until:
             self.zone.store.cut.discard(name)
 
-    async def _look_for(self, seconds: float) -> None:
+    async def _check_for(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
             await asyncio.sleep(STEP_S / 10)
-            for one in self.zone.entries:
-                self._look(one, loop.time())
-
-    def _look(self, one: Entry, now: float) -> None:
-        held = int(one.sink.payload.split()[0])
-        if held < self._held.get(one.name, 0):
-            self.behind.append(f'{now:.2f} {one.name} went back to {held}')
-        self._held[one.name] = held
-        in_touch_at = max(0, self._free_at.get(one.name, 0))
+            for entry in self.zone.entries:
+                self._check(entry, loop.time())
+
+    def _check(self, entry: Entry, now: float) -> None:
+        held = int(entry.sink.payload.split()[0])
+        if held < self._held.get(entry.name, 0):
+            self.behind.append(f'{now:.2f} {entry.name} went back to {held}')
+        self._held[entry.name] = held
+        in_touch_at = max(0, self._free_at.get(entry.name, 0))
         due = [
             revision
             for at, revision in self._written
             if now - max(at, in_touch_at) > APPLY_S
         ]
         if held < max(due, default=1):
-            self.behind.append(f'{now:.2f} {one.name} holds {held}')
+            self.behind.append(f'{now:.2f} {entry.name} holds {held}')
 
 
 class SeedsTest(unittest.TestCase):
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -26,7 +26,7 @@
     reads = 0
 
 
-class CountingHandle(zones.StoreLink):
+class CountingLink(zones.StoreLink):
     """An entry's way to it."""
 
     async def read(self, prefix: str) -> Snapshot:
@@ -35,7 +35,7 @@
         return await super().read(prefix)
 
 
-class SlowHandle(zones.StoreLink):
+class SlowLink(zones.StoreLink):
     """A way to a store that takes half a second over each answer."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
@@ -60,7 +60,7 @@
     CountingStore.reads = 0
     with (
         mock.patch.object(zones, 'FarStore', CountingStore),
-        mock.patch.object(zones, 'StoreLink', CountingHandle),
+        mock.patch.object(zones, 'StoreLink', CountingLink),
     ):
         zone = zones.Zone()
         zone.store.records[KEY] = Record(b'1' * zones.LARGE_BYTES * 3, 1)
@@ -72,7 +72,7 @@
 class ZoneTroubleTest(unittest.TestCase):
     """Play a zone in virtual time."""
 
-    def test_first_turned_away(self) -> None:
+    def test_first_relay_refused(self) -> None:
         """Whoever the store turns away hears a neighbour that it serves."""
 
         async def act(zone: zones.Zone) -> None:
@@ -93,7 +93,7 @@
         """While a slow store answers the first, the others leave it alone."""
 
         with (
-            mock.patch.object(zones, 'StoreLink', SlowHandle),
+            mock.patch.object(zones, 'StoreLink', SlowLink),
             mock.patch.object(zones, 'APPLY_S', 2.0),
         ):
             calls: list[int] = []
@@ -125,16 +125,16 @@
 class AgeTest(unittest.TestCase):
     """Since when a follower knows what it knows."""
 
-    def test_age_counts_from_the_answers_begin(self) -> None:
+    def test_age_counts_from_the_begin_of_an_answer(self) -> None:
         """What was written while an answer came is not known with it."""
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
+            link = zones.StoreLink(store, 'me')
             follower = RangeFollower(
-                handle, '', zones.NewestSink(), Random(1), bounds_for(2)
+                link, '', zones.NewestSink(), Random(1), bounds_for(2)
             )
-            handle.on_bytes = follower.note_bytes
+            link.on_bytes = follower.note_bytes
             store.records[KEY] = Record(b'1' * 6000000, 1)
             follower.start()
             await asyncio.sleep(0.1)
@@ -161,23 +161,21 @@
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
-            newest = zones.NewestSink()
-            follower = RangeFollower(
-                handle, '', newest, Random(1), bounds_for(2)
-            )
-            handle.on_bytes = follower.note_bytes
+            link = zones.StoreLink(store, 'me')
+            sink = zones.NewestSink()
+            follower = RangeFollower(link, '', sink, Random(1), bounds_for(2))
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 4 * zones.LINK_BYTES_PER_S)
             await asyncio.sleep(5)
             await follower.close()
-            self.assertEqual(len(newest.ages), 1)
-            self.assertGreater(newest.ages[0], 3.5)
+            self.assertEqual(len(sink.ages), 1)
+            self.assertGreater(sink.ages[0], 3.5)
 
         virtual.run(play())
 
-    def test_an_older_answer_makes_no_belief_older(self) -> None:
+    def test_an_older_answer_makes_no_view_older(self) -> None:
         """What a neighbour confirmed meanwhile stays confirmed."""
 
         async def play() -> None:
@@ -189,18 +187,18 @@
 
         virtual.run(play())
 
-    def test_a_slow_read_is_not_begun_again(self) -> None:
+    def test_a_slow_read_is_not_repeated(self) -> None:
         """However long it took, what comes next is waited for."""
 
         async def play() -> None:
             CountingStore.reads = 0
             store = CountingStore()
             store.records[KEY] = Record(b'1' * zones.LINK_BYTES_PER_S * 8, 1)
-            handle = CountingHandle(store, 'me')
+            link = CountingLink(store, 'me')
             follower = RangeFollower(
-                handle, '', zones.NewestSink(), Random(1), bounds_for(2)
+                link, '', zones.NewestSink(), Random(1), bounds_for(2)
             )
-            handle.on_bytes = follower.note_bytes
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(30)
             await follower.close()
@@ -225,15 +223,15 @@
             follower.apply_update(update)
             now = asyncio.get_running_loop().time()
             delta = follower.mirror.delta_since(0, now)
-            self.assertEqual([one.age_s for one in delta.changes], [5])
+            self.assertEqual([change.age_s for change in delta.changes], [5])
 
         virtual.run(play())
 
 
-class WordTest(unittest.TestCase):
+class RelayedOutagesTest(unittest.TestCase):
     """What a follower makes of a neighbour's word."""
 
-    def test_outages_go_on(self) -> None:
+    def test_outages_are_passed_on(self) -> None:
         """Whoever is told of an outage tells of one."""
 
         async def play() -> None:
@@ -248,7 +246,7 @@
         virtual.run(play())
 
 
-class PackTest(unittest.TestCase):
+class RelayServerTest(unittest.TestCase):
     """What a teller sends."""
 
     def test_whole_is_whole(self) -> None:
@@ -261,15 +259,15 @@
             mirror.replace_all(Snapshot(whole, 2), 0)
             new = Record(b'2', 3)
             mirror.apply_changes((Change(KEY, new),), 3, 0)
-            teller = RangeRelayServer(follower)
+            relay_server = RangeRelayServer(follower)
             net = MemoryNet(Random(1), 0, 0)
 
             async def accept(stream: FrameStream) -> None:
-                await teller.serve(stream, await stream.read())
+                await relay_server.serve(stream, await stream.read())
 
             net.accepting[('t', 1)] = accept
 
-            async def ask(after: int) -> RelayedUpdate:
+            async def request_after(after: int) -> RelayedUpdate:
                 stream = await MemoryDialler(net).dial(('t', 1))
                 request = encode(RangeRequest(after=after))
                 await stream.write(FrameKind.RANGE_REQUEST, request)
@@ -277,13 +275,13 @@
                 stream.close()
                 return update
 
-            before = await ask(2)
+            before = await request_after(2)
             self.assertFalse(before.whole)
             # Read anew after an outage; nothing was written meanwhile.
             mirror.replace_all(Snapshot({**whole, KEY: new}, 3), 1)
-            after = await ask(2)
+            after = await request_after(2)
             await net.close()
-            keys = {one.key for one in after.changes}
+            keys = {change.key for change in after.changes}
             if after.whole:
                 self.assertEqual(keys, set(whole))
 
@@ -293,15 +291,15 @@
 class OwnAnswerTest(unittest.TestCase):
     """An answer of one's own, and a neighbour's that never comes to an end."""
 
-    def test_comes_in_time(self) -> None:
+    def test_own_answer_comes_in_time(self) -> None:
         """It is given up for the neighbour's, and asked for again in time."""
 
         async def play() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
+            link = zones.StoreLink(store, 'me')
             sink = zones.NewestSink()
-            follower = RangeFollower(handle, '', sink, Random(1), bounds_for(3))
-            handle.on_bytes = follower.note_bytes
+            follower = RangeFollower(link, '', sink, Random(1), bounds_for(3))
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(3)
             store.write(b'2' * zones.LARGE_BYTES * 3)
