--- a/tests/test_asking_in_turn.py
+++ b/tests/test_asking_in_turn.py
@@ -1,7 +1,7 @@
-"""Where all that a zone hears are out of touch, its entries ask in turn.
+"""Where all relays of a zone are out of touch, its entries take turns.
 
-Load pattern: thirteen entries trust the same tellers, which fall silent in the
-same moment; each answer of the store fills the link that all share for a while.
+Load pattern: 13 entries trust the same relays, which fall silent at the same
+moment; each answer of the store fills the link that all share for a while.
 Virtual time.
 """
 
@@ -22,31 +22,31 @@
 
 
 class RecordingStore:
-    """Note when it is asked to wait, and never answer that."""
+    """Record the times of wait requests, and never answer them."""
 
     def __init__(self) -> None:
         self.requested_at: list[float] = []
 
     async def read(self, prefix: str) -> Snapshot:
-        """Give one key."""
+        """Return one key."""
         return Snapshot({'k': Record(b'', 5)}, 5)
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for ever."""
+        """Wait forever."""
         self.requested_at.append(asyncio.get_running_loop().time())
         await asyncio.Event().wait()
         raise AssertionError
 
 
 def selector_of(me: str) -> RelaySelector:
-    """Give an entry that knows all others."""
+    """Return the selector of an entry that knows all others."""
     selector = RelaySelector(me, Random(1))
     selector.note_seen(ENTRIES, 0)
     return selector
 
 
 async def request_delay_s(me: str) -> float:
-    """Give how long after the last word an entry asks the store."""
+    """Return how long after the last update an entry requests the store."""
     store = RecordingStore()
     bounds = bounds_for(APPLY_S)
     follower = RangeFollower(store, '', RecordingSink(), Random(1), bounds)
@@ -62,21 +62,21 @@
 
 
 class StaggeredRequestsTest(unittest.TestCase):
-    """Let each entry of a zone lose its tellers."""
+    """Let each entry of a zone lose its relays."""
 
     def test_one_after_the_other(self) -> None:
-        """The first asks at once, few within a tenth of a second of it."""
+        """The first sends at once, and at most 3 within the first 0.1 s."""
         times = sorted(virtual.run(request_delay_s(me)) for me in ENTRIES)
         fresh_s = bounds_for(APPLY_S).max_age_s
         self.assertAlmostEqual(times[0], fresh_s, 2)
         self.assertLessEqual(
             sum(time_s < times[0] + 0.1 for time_s in times), 3
         )
-        # The last has two fifths of the bound left for its answer.
+        # The last one has two fifths of the bound left for its answer.
         self.assertLessEqual(times[-1], 0.6 * APPLY_S + 0.01)
 
     def test_few_entries_request_at_once(self) -> None:
-        """The tellers, and the next one after them."""
+        """Only the two relays and the entry after them have position 0."""
         self.assertEqual(RelaySelector('a', Random(1)).stagger_position, 0)
         counts = sorted(selector_of(me).stagger_position for me in ENTRIES)
         self.assertEqual(counts, [0, 0, 0, *range(1, 11)])
--- a/tests/test_crowded_news.py
+++ b/tests/test_crowded_news.py
@@ -1,7 +1,7 @@
-"""What changes in crowds is fetched together, within its bound.
+"""Changes in quick succession are fetched together, within their bound.
 
-Load pattern: a hundred servers write their warmth, each on its own second, so
-that the store has a change for each waiting call at once. Virtual time.
+Load pattern: 100 servers write their warm-up times, each at its own moment of a
+second, so that the store has a change for each wait at once. Virtual time.
 """
 
 import asyncio
@@ -20,25 +20,25 @@
 
 
 class BusyStore:
-    """Write one key every hundredth of a second, from the beginning on."""
+    """Write one key every 0.01 s, from the beginning on."""
 
     def __init__(self) -> None:
         self.calls = 0
 
     @property
     def revision(self) -> int:
-        """Give the revision that was written last."""
+        """Return the revision that was written last."""
         return 1 + int(asyncio.get_running_loop().time() / EVERY_S)
 
     async def read(self, prefix: str) -> Snapshot:
-        """Give the key."""
+        """Return the key."""
         self.calls += 1
         await asyncio.sleep(ANSWER_S)
         found = Record(b'', self.revision)
         return Snapshot({'k': found}, found.revision)
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Give the newest change as soon as there is one."""
+        """Return the newest change as soon as there is one."""
         self.calls += 1
         await asyncio.sleep(ANSWER_S)
         while self.revision <= after:
@@ -48,7 +48,7 @@
 
 
 async def calls_and_age(apply_s: float) -> tuple[float, float]:
-    """Follow for a while; give calls a second and the oldest belief."""
+    """Follow the store; return calls a second and the view's highest age."""
     store = BusyStore()
     bounds = bounds_for(apply_s)
     follower = RangeFollower(store, '', RecordingSink(), Random(1), bounds)
@@ -67,7 +67,7 @@
     """Follow a store that changes all the time."""
 
     def test_calls_are_bounded(self) -> None:
-        """Ten or five calls a second, and a belief of a tenth of its bound."""
+        """At most 10 or 5 calls/s, and a view younger than 0.1 of the bound."""
         for apply_s, most_calls in ((2, 10), (4, 5)):
             calls, oldest_s = virtual.run(calls_and_age(apply_s))
             with self.subTest(apply_s=apply_s):
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""A range of the platform's store, followed through its troubles."""
+"""A range of the platform's store, followed through failures."""
 
 import asyncio
 import base64
@@ -28,7 +28,7 @@
 
 
 class ScriptedStore:
-    """Give one scripted answer after the other, then wait for ever."""
+    """Return one scripted answer after the other, then wait forever."""
 
     def __init__(self, *steps: Step) -> None:
         self.steps = list(steps)
@@ -59,7 +59,7 @@
 
 
 class RecordingSink:
-    """A sink that keeps what it is told."""
+    """A sink that records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[object] = []
@@ -71,7 +71,7 @@
         self.calls.extend(changes)
 
     def mark_unreachable(self) -> None:
-        self.calls.append('away')
+        self.calls.append('unreachable')
 
 
 ONE = Record(b'1', 5)
@@ -79,10 +79,10 @@
 
 
 class RangeFollowerTest(unittest.IsolatedAsyncioTestCase):
-    """Read once, then wait; begin again where history is lost."""
+    """Read once, then wait; read again where history is lost."""
 
     async def play(self, *steps: Step) -> tuple[ScriptedStore, RecordingSink]:
-        """Play all steps."""
+        """Follow a store through all steps."""
         store = ScriptedStore(*steps)
         sink = RecordingSink()
         follower = RangeFollower(store, '', sink, Random(1))
@@ -106,7 +106,7 @@
         self.assertEqual(sink.calls, [{'k': ONE}, TWO])
 
     async def test_lost_history_is_read_again(self) -> None:
-        """What can't be told is read whole; the store was not away for that."""
+        """The whole range is read; the store doesn't count as unreachable."""
         store, sink = await self.play(
             Snapshot({'k': ONE}, 5),
             HistoryLostError('store-history-lost'),
@@ -118,18 +118,20 @@
         self.assertEqual(sink.calls, [{'k': ONE}, {}])
 
     async def test_an_unreachable_store_comes_back(self) -> None:
-        """What was learned stays, and waiting goes on from there."""
+        """The known records stay, and the next wait goes on from there."""
         store, sink = await self.play(
             StoreError('store-unreachable'),
             Snapshot({'k': ONE}, 5),
             StoreError('store-unreachable'),
             Changes((TWO,), 6),
         )
-        self.assertEqual(sink.calls, ['away', {'k': ONE}, 'away', TWO])
+        self.assertEqual(
+            sink.calls, ['unreachable', {'k': ONE}, 'unreachable', TWO]
+        )
         self.assertEqual(store.requests[-2:], [('wait', 5), ('wait', 6)])
 
     async def test_knows_when_the_view_was_confirmed(self) -> None:
-        """Good answers count, empty ones too; failures and lost history not."""
+        """Answers count, also empty ones; failures and a lost history don't."""
         first = Snapshot({'k': ONE}, 5)
         failure = StoreError('store-unreachable')
         cases: tuple[tuple[str, tuple[Step, ...], int], ...] = (
@@ -156,21 +158,21 @@
                 if not nth:
                     self.assertEqual(follower.confirmed_at, -math.inf)
                     continue
-                # Each answer confirms what was so when it was asked for.
+                # Each answer confirms the state at the time of its request.
                 times = [began, *store.requested_at]
                 self.assertLess(times[nth - 1], follower.confirmed_at)
                 self.assertLessEqual(follower.confirmed_at, times[nth])
 
 
 def answer(status: int, said: Any = None) -> bytes:
-    """Give an answer of the store."""
+    """Return an encoded answer of the store."""
     body = json.dumps(said).encode()
     head = f'HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
 def row(key: str, text: str, revision: int) -> dict[str, Any]:
-    """Give a stored item."""
+    """Return an item as the store encodes it."""
     value = base64.b64encode(text.encode()).decode()
     return {'private_key': key, 'value': value, 'revision': revision}
 
@@ -189,7 +191,7 @@
         await self.server.close()
 
     def requested(self) -> list[Requested]:
-        """Give the paths and queries that were asked."""
+        """Return the paths and queries that were requested."""
         targets = [
             request.split(b' ')[1].decode() for request in self.server.requests
         ]
@@ -200,7 +202,7 @@
         ]
 
     async def test_pages_are_joined_at_the_first_revision(self) -> None:
-        """What changed between pages is waited for."""
+        """Changes between the pages come with the next wait."""
         self.server.answers = [
             answer(
                 200,
@@ -225,7 +227,7 @@
         self.assertEqual(second['after_revision'], ['a'])
 
     async def test_a_later_page_is_requested_again(self) -> None:
-        """A read goes on from the page that failed, and not for ever."""
+        """A read goes on from the page that failed, a few times at most."""
         first = answer(
             200,
             {'items': [row('a', 'x', 3)], 'has_more': True, 'timestamp': 9},
@@ -238,9 +240,9 @@
         cases = (
             ('cut once', [first, b'', last], ['', 'a', 'a'], 9),
             ('busy twice', [first, busy, busy, last], ['', 'a', 'a', 'a'], 9),
-            ('away', [first, *[busy] * 3], ['', 'a', 'a', 'a'], None),
-            ('away at once', [busy], [''], None),
-            ('forgot', [first, answer(410)], ['', 'a'], None),
+            ('unreachable', [first, *[busy] * 3], ['', 'a', 'a', 'a'], None),
+            ('unreachable at once', [busy], [''], None),
+            ('history lost', [first, answer(410)], ['', 'a'], None),
         )
         for name, answers, places, revision in cases:
             with self.subTest(name=name):
@@ -255,14 +257,14 @@
                 self.assertEqual(found, revision)
 
     async def read_revision(self) -> int | None:
-        """Read a range, if that can be done."""
+        """Return the revision of a read, or None if it fails."""
         try:
             return (await self.store.read('op/')).revision
         except StoreError:
             return None
 
     async def test_changes(self) -> None:
-        """Written and deleted keys are told apart."""
+        """Written and deleted keys are distinguished."""
         self.server.answers = [
             answer(
                 200,
@@ -293,7 +295,7 @@
         )
 
     async def test_errors_have_codes(self) -> None:
-        """Each trouble is an error of the store's layer."""
+        """Each failure is raised as a StoreError with a code."""
         cases: tuple[tuple[bytes, str], ...] = (
             (answer(410), 'store-history-lost'),
             (answer(503), 'store-unreachable'),
@@ -310,7 +312,7 @@
                 self.assertEqual(caught.exception.code, code)
 
     async def test_calls_are_logged(self) -> None:
-        """What brought changes or failed is told, and a quiet wait is not."""
+        """Calls with changes or failures are logged, an empty wait is not."""
         body = {'events': [row('op/config', 'xyz', 3)], 'timestamp': 3}
         quiet = {'events': [], 'timestamp': 3}
         self.server.answers = [answer(200, quiet), answer(200, body)]
@@ -334,7 +336,7 @@
         self.assertNotIn('got', second)
 
     async def test_a_silent_store_is_logged(self) -> None:
-        """A call without an answer tells that no head came, and how long."""
+        """The line of a call without an answer says so, with its duration."""
         self.server.answers = [b'']
         with self.assertLogs('linnetwood') as logged:
             with self.assertRaises(StoreError):
@@ -346,7 +348,7 @@
         self.assertGreater(seen['end_s'], 0)
 
     async def test_malformed_pages_are_refused(self) -> None:
-        """A page without what it must hold ends no task."""
+        """A page without a required field raises a StoreError."""
         cases: tuple[Any, ...] = (
             {},
             {'items': [{}], 'has_more': False, 'timestamp': 1},
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -1,8 +1,8 @@
-"""Entries that start hear others that are there while they read the store.
+"""Entries that start subscribe to running ones while they read the store.
 
-Load pattern: most entries of a zone are killed and start again in one moment,
-and each reads a range of 700 KB over the link that its region shares; or all
-entries of all zones do. Virtual time, links at 6 Mbit/s.
+Load pattern: most entries of a zone are killed and start again at the same
+moment, and each reads a range of 700 KB over the link that its region shares;
+or all entries of all zones do. Virtual time, links at 6 Mbit/s.
 """
 
 import asyncio
@@ -22,10 +22,10 @@
 
 
 class StartupSyncTest(unittest.TestCase):
-    """Restart entries, and see what crosses the link."""
+    """Restart entries, and check what crosses the link."""
 
     def test_most_of_a_zone(self) -> None:
-        """One copy at most, and a second until all know the range."""
+        """Less than one copy crosses, and all know the range within 1 s."""
 
         async def act(regions: Regions) -> None:
             regions.links.sent.clear()
@@ -39,7 +39,7 @@
         played(act)
 
     def test_everybody(self) -> None:
-        """Three copies at most cross, as the first of each zone tell others."""
+        """Fewer than 4 copies cross, as the relays of a zone serve others."""
 
         async def act(regions: Regions) -> None:
             regions.links.sent.clear()
@@ -59,7 +59,7 @@
     regions: Regions,
     entries: list[RegionEntry],
 ) -> list[RegionEntry]:
-    """Kill entries and start them again, knowing nothing."""
+    """Kill entries and start them again without any state."""
     started = []
     for entry in entries:
         await regions.kill(entry)
--- a/tests/test_late_requests.py
+++ b/tests/test_late_requests.py
@@ -1,9 +1,9 @@
-"""A request that is read late makes words older only until the next one.
+"""A request that is read late makes updates older only until the next one.
 
-What was seen: in virtual time alone, words that come within milliseconds count
-as 0.4 s older than they are for ten seconds. How it comes about: a teller reads
-its listener's request late, once. Cause: a word counts from the last request
-that its teller has read, and the listener asks anew only after ten seconds.
+A relay that reads one request of its subscriber late lets updates that arrive
+within milliseconds count as 0.4 s older than they are: their ages count from
+the last request that the relay has read. Without an earlier request that lasts
+for 10 s, until the regular one. Virtual time.
 """
 
 import asyncio
@@ -24,7 +24,7 @@
 
 
 async def _overstated_s() -> float:
-    """Give how much too old words count once the teller keeps up again."""
+    """Return how much too old updates count once the relay keeps up again."""
     net = MemoryNet(Random(1), 0, 0)
     entry = zones.Entry('10.0.0.1', zones.FarStore(), net)
 
@@ -55,10 +55,10 @@
 
 
 class LateRequestsTest(unittest.TestCase):
-    """Requests are read late, once."""
+    """Read one request late."""
 
     def test_updates_in_time_are_not_old_for_long(self) -> None:
-        """No word that comes at once counts a beat too old."""
+        """No update that arrives at once counts a heartbeat too old."""
         self.assertLess(virtual.run(_overstated_s()), HEARTBEAT_S)
 
 
--- a/tests/test_narrow_regions.py
+++ b/tests/test_narrow_regions.py
@@ -1,15 +1,13 @@
 """Configurations in three regions whose links to each other are narrow.
 
-What was seen: an entry of the region farthest from the store refused a route
-as unknown 3.1 s after the configuration that added it was accepted, and another
-served an older version as late; 3 s are allowed. How it came about: 1,760
-routes were added and small changes followed, over a link at a third of its
-rate. What caused it: the store gives a configuration only as a whole, 700 KB
-of base64 for one route that changed, and each zone fetched that for each change
-over the link that its region shares; an entry that the store turned away heard
-nobody but its own zone. What proved it: with the link at 6 Mbit/s the answers
-alone take 0.9 s a change, one after the other, while the zone beside the store
-has them at once.
+The store sends a configuration only as a whole: 700 KB of base64 for one
+changed route. Where each zone fetches that over the link that its region
+shares, each change takes 0.9 s at 6 Mbit/s, one after the other, while the zone
+beside the store has all at once. After 1,760 new routes and some small changes
+over a link at a third of its rate, an entry in the region farthest from the
+store refused a new route as unknown 3.1 s after the change was accepted, and
+another one served an older version as late; 3 s are allowed. An entry that the
+store refuses must also get changes from other zones than its own.
 
 Load pattern: small changes of a large configuration come faster than whole
 copies pass a link. Virtual time.
@@ -49,7 +47,7 @@
 
 
 def configuration(version: int, routes: int = ROUTES) -> bytes:
-    """Give a configuration in which each version changes one route."""
+    """Return a configuration in which each version changes one route."""
     changed = {version: 1}
     rows = [
         {
@@ -74,7 +72,7 @@
 
 
 def version_of(payload: bytes) -> int:
-    """Give the version at the head of a configuration; 0 before the first."""
+    """Return the version at the head of a configuration; 0 if empty."""
     head = payload[: payload.find(b',')]
     return int(head.rpartition(b':')[2]) if head.startswith(b'{') else 0
 
@@ -87,7 +85,7 @@
         self._free_at: dict[tuple[str, str], float] = {}
 
     def through_at(self, source: str, target: str, size: int) -> float:
-        """Give when bytes that are sent now have passed."""
+        """Return when bytes that are sent now have passed the link."""
         now = asyncio.get_running_loop().time()
         if source == target:
             return now + size / WIDE_BYTES_PER_S
@@ -108,7 +106,7 @@
         self._links = links
 
     async def carry(self, size: int, on_bytes: Callable[[], None]) -> None:
-        """Wait for the time that bytes take; values are told in base64."""
+        """Wait for the time that bytes take; values are sent in base64."""
         loop = asyncio.get_running_loop()
         left = size * 4 // 3
         while left > 0:
@@ -130,7 +128,7 @@
         self._zones: dict[MemoryStream, tuple[str, str]] = {}
 
     async def dial_from(self, zone: str, address: Address) -> FrameStream:
-        """Connect, and note which link the connection takes."""
+        """Connect, and note which link the connection uses."""
         stream = await self.dial(address)
         assert isinstance(stream, MemoryStream)
         there = zone_of(address[0])
@@ -140,7 +138,7 @@
         return stream
 
     def carry(self, sender: MemoryStream, frame: Frame) -> None:
-        """Bring a frame when its bytes have passed the link."""
+        """Deliver a frame when its bytes have passed the link."""
         here, there = self._zones.get(sender, ('', ''))
         until = self._links.through_at(here, there, len(frame.payload))
         now = asyncio.get_running_loop().time()
@@ -162,12 +160,12 @@
 
 
 def zone_of(host: str) -> str:
-    """Give the zone of an entry by its address."""
+    """Return the zone of an entry by its address."""
     return ZONES[int(host.split('.')[1])]
 
 
 class RegionEntry(Entry):
-    """An entry that hears other zones, too."""
+    """An entry that subscribes to other zones, too."""
 
     def __init__(self, name: str, store: FarStore, net: RegionNet) -> None:
         super().__init__(name, store, net)
@@ -198,12 +196,12 @@
         await super().close()
 
     async def _find_hosts(self) -> list[str]:
-        """Read a short list from the store."""
+        """Look up endpoint processes, as if with a short read of the store."""
         await asyncio.sleep(ROUND_TRIP_S)
         return ['an endpoint process']
 
     def _request_entries(self, hosts: list[str]) -> None:
-        """Be told of others, as by an endpoint process of the zone."""
+        """Learn of other entries, as from an endpoint process of the zone."""
         loop = asyncio.get_running_loop()
         loop.call_later(ROUND_TRIP_S, self.on_request, self)
 
@@ -213,7 +211,7 @@
 
 
 class Regions:
-    """All entries of three zones in as many regions."""
+    """All entries of three zones, each in a region of its own."""
 
     def __init__(self) -> None:
         self.links = Links()
@@ -229,7 +227,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Let everybody learn the range and hear of the others."""
+        """Let all entries learn the range and of each other."""
         self._tasks = [
             asyncio.create_task(self._announce()),
             asyncio.create_task(self._observe()),
@@ -248,30 +246,30 @@
         await self.net.close()
 
     def write(self, version: int, routes: int = ROUTES) -> None:
-        """Put a configuration into the store."""
+        """Write a configuration to the store."""
         self.written[version] = asyncio.get_running_loop().time()
         for store in self.stores.values():
             store.write(configuration(version, routes))
 
     def add(self, name: str) -> RegionEntry:
-        """Put an entry there; the caller starts it."""
+        """Add an entry; the caller starts it."""
         entry = RegionEntry(name, self.stores[zone_of(name)], self.net)
         entry.on_request = self._name_entries
         self.entries.append(entry)
         return entry
 
     async def kill(self, entry: RegionEntry) -> None:
-        """End a process without a word."""
+        """End a process without notice."""
         self.entries.remove(entry)
         self.net.drop((entry.name, PORT))
         await entry.close()
 
     def of(self, zone: str) -> list[RegionEntry]:
-        """Give the entries of a zone."""
+        """Return the entries of a zone."""
         return [entry for entry in self.entries if zone_of(entry.name) == zone]
 
     def behind(self) -> dict[str, int]:
-        """Give what entries hold that lack the newest version."""
+        """Return the versions of entries that lack the newest one."""
         newest = max(self.written)
         held = {one.name: version_of(one.sink.payload) for one in self.entries}
         return {name: one for name, one in held.items() if one < newest}
@@ -289,11 +287,11 @@
             if entry.name in names:
                 entry.selector.note_seen(names, now)
             else:
-                # As an endpoint process that heard two of them.
+                # As an endpoint process that knows two of them.
                 entry.selector.remote_zones.note_seen(zone, names[:2], now)
 
     async def _observe(self) -> None:
-        """Note for how long each version was lacking somewhere, at most."""
+        """Record for how long each entry lacked a version, at most."""
         while True:
             now = asyncio.get_running_loop().time()
             for entry in self.entries:
@@ -309,7 +307,7 @@
 
 
 def played(act: Callable[[Regions], Awaitable[None]]) -> None:
-    """Play something in virtual time, in regions that know the range."""
+    """Run act in virtual time, in regions whose entries know the range."""
 
     async def play() -> None:
         regions = Regions()
@@ -323,10 +321,10 @@
 
 
 class NarrowRegionsTest(unittest.TestCase):
-    """Change a large configuration, and see when all regions have it."""
+    """Change a large configuration, and check when all regions have it."""
 
     def test_small_changes_in_quick_succession(self) -> None:
-        """Each is in force everywhere within its bound."""
+        """Each change is in force everywhere within its bound."""
 
         async def act(regions: Regions) -> None:
             for version in range(2, 9):
@@ -341,7 +339,7 @@
     def test_small_change_of_a_large_configuration(self) -> None:
         """It takes a third of the bound, with links at a third of their rate.
 
-        And little of the link, which calls share: a tenth of a whole copy.
+        It takes less than a tenth of a whole copy of the link that calls share.
         """
 
         async def act(regions: Regions) -> None:
@@ -355,7 +353,7 @@
         played(act)
 
     def test_a_zone_that_the_store_refuses(self) -> None:
-        """It hears of a change from the others, within the bound."""
+        """It gets a change from the other zones within the bound."""
 
         async def act(regions: Regions) -> None:
             names = [entry.name for entry in regions.of('far')]
@@ -368,7 +366,7 @@
         played(act)
 
     def test_a_zone_whose_relays_are_suspended(self) -> None:
-        """Its entries hear other zones, in place of the store in a crowd."""
+        """Its entries get changes from other zones, not all from the store."""
 
         async def act(regions: Regions) -> None:
             now = asyncio.get_running_loop().time()
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -1,4 +1,4 @@
-"""Neighbours choose each other, and a death changes little."""
+"""Neighbours choose each other, and a failed VM changes few of them."""
 
 import unittest
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 def graph(vms: list[str]) -> dict[str, set[str]]:
-    """Give every VM's neighbours."""
+    """Return the neighbours of every VM."""
     return {vm: set(neighbours(vm, vms, 'm', COUNT)) for vm in vms}
 
 
@@ -22,24 +22,24 @@
     """The graph over all VMs."""
 
     def test_everybody_in_a_small_fleet(self) -> None:
-        """A fleet no larger than the wish is a full graph."""
+        """In a fleet of 13 VMs, each has all others as neighbours."""
         found = neighbours('vm-0', VMS[:13], 'm', COUNT)
         self.assertEqual(set(found), set(VMS[1:13]))
 
     def test_choice_is_mutual(self) -> None:
-        """Whoever is chosen chooses back."""
+        """A chosen VM chooses the other one, too."""
         found = graph(VMS)
         for vm, chosen in found.items():
             for other in chosen:
                 self.assertIn(vm, found[other])
 
     def test_number(self) -> None:
-        """Everybody has as many as wished."""
+        """Every VM has as many neighbours as wanted."""
         sizes = {len(chosen) for chosen in graph(VMS).values()}
         self.assertEqual(sizes, {COUNT})
 
     def test_connected(self) -> None:
-        """Everybody is a few steps from everybody."""
+        """Every VM reaches every other within 5 steps."""
         found = graph(VMS)
         reached = {VMS[0]}
         for _ in range(5):
@@ -47,7 +47,7 @@
         self.assertEqual(reached, set(VMS))
 
     def test_death_moves_nobody(self) -> None:
-        """The dead are counted with the rest, so the others keep theirs."""
+        """Failed VMs keep their positions, so the others keep theirs."""
         intent = Intent(model='m', version='v', replicas=20)
         deployment = Deployment(intents=[intent])
         before = [
@@ -68,19 +68,19 @@
 
 
 class PartnersTest(unittest.TestCase):
-    """Pair VMs by chance, and keep the pairs while others come and go."""
+    """Pair VMs at random, and keep the pairs while others come and go."""
 
     def setUp(self) -> None:
         self.vms = [f'10.2.0.{number}' for number in range(100)]
 
     def pairs(self, vms: list[str]) -> set[tuple[str, str]]:
-        """Give all pairs, in both orders."""
+        """Return all pairs, in both orders."""
         return {
             (vm, other) for vm in vms for other in partners(vm, vms, 'm@2', 12)
         }
 
     def test_both_sides_agree(self) -> None:
-        """Each VM has about as many, and nobody itself."""
+        """Each VM has about 12 partners, and never itself."""
         pairs = self.pairs(self.vms)
         self.assertEqual(pairs, {(other, vm) for vm, other in pairs})
         counts = Counter(vm for vm, _ in pairs)
@@ -89,14 +89,14 @@
         self.assertFalse([vm for vm, other in pairs if vm == other])
 
     def test_one_that_comes_changes_few_pairs(self) -> None:
-        """Under two in a hundred of those that were there."""
+        """A new VM changes under 2 % of the existing pairs."""
         before = self.pairs(self.vms)
         after = self.pairs([*self.vms, 'new'])
         self.assertLess(len(before - after), 0.02 * len(before))
         self.assertIn('new', {vm for vm, _ in after})
 
     def test_few(self) -> None:
-        """All others, where there are no more than asked for."""
+        """All other VMs are partners where there are no more than wanted."""
         self.assertEqual(partners('a', ['a', 'b', 'c'], 'm', 12), ['b', 'c'])
 
 
--- a/tests/test_patches.py
+++ b/tests/test_patches.py
@@ -1,4 +1,4 @@
-"""Differences between two versions of a payload, as they are told."""
+"""Patches between two versions of a payload, and how they are sent."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 def mirror_of(*payloads: bytes) -> Mirror:
-    """Give a mirror that saw one key written again and again."""
+    """Return a mirror to which one key was written again and again."""
     mirror = Mirror()
     mirror.replace_all(Snapshot({'k': Record(payloads[0], 1)}, 1), 0)
     for revision, payload in enumerate(payloads[1:], 2):
@@ -27,15 +27,15 @@
 
 
 class PatchTest(unittest.TestCase):
-    """Make the newer payload of the older one."""
+    """Turn an older payload into a newer one."""
 
     @given(payloads, payloads)
     def test_it_gives_the_newer_payload(self, old: bytes, new: bytes) -> None:
-        """Whatever the two are."""
+        """A patch works for any two payloads."""
         self.assertEqual(apply_patch(old, make_patch(old, new), MAX_BYTES), new)
 
     def test_a_small_change_is_small(self) -> None:
-        """One route of 1,900 takes less than a row of them and a few runs."""
+        """One changed route of 1,900 takes less than 1,500 bytes."""
         patch = make_patch(configuration(2), configuration(3))
         self.assertLess(len(patch.added) + 4 * len(patch.runs), 1500)
 
@@ -52,7 +52,7 @@
         added: bytes,
         check: int,
     ) -> None:
-        """A coded error, or by chance a payload with the right check."""
+        """They raise CodecError, or by chance the checksum is right."""
         try:
             payload = apply_patch(old, Patch(runs, added, check), 30)
         except CodecError:
@@ -61,7 +61,7 @@
 
 
 class EncodingTest(unittest.TestCase):
-    """Tell a large payload to those who hold another version of it."""
+    """Send a large payload to receivers that hold another version of it."""
 
     def setUp(self) -> None:
         self.old = configuration(1)
@@ -69,7 +69,7 @@
         self.change = Change('k', Record(self.new, 2))
 
     def test_against_what_is_held(self) -> None:
-        """A difference goes out, and the payload comes in."""
+        """A patch is sent, and the payload results from it."""
         packed = pack([self.change], {'k': 1}, mirror_of(self.old, self.new))
         self.assertLess(len(packed), LARGE_BYTES / 8)
         found = list(unpack(packed, 0, mirror_of(self.old)))
@@ -78,7 +78,7 @@
         )
 
     def test_against_what_the_sender_has_forgotten(self) -> None:
-        """The whole goes out."""
+        """The whole payload is sent."""
         packed = pack([self.change], {'k': 1}, mirror_of(b'', self.new))
         found = list(unpack(packed, 0))
         self.assertEqual(
@@ -86,14 +86,14 @@
         )
 
     def test_against_what_the_receiver_has_forgotten(self) -> None:
-        """It is an error of the word, after which the listener asks anew."""
+        """The update raises CodecError, and the receiver reconnects."""
         packed = pack([self.change], {'k': 1}, mirror_of(self.old, self.new))
         for mirror in (None, mirror_of(b'', self.new)):
             with self.assertRaises(CodecError):
                 tuple(unpack(packed, 0, mirror))
 
     def test_a_few_versions_are_kept(self) -> None:
-        """Four before the newest, also where the range was read anew."""
+        """Four versions before the newest, also after a read of the range."""
         versions = [configuration(number, 100) for number in range(6)]
         mirror = mirror_of(*versions[:5])
         mirror.replace_all(Snapshot({'k': Record(versions[5], 6)}, 6), 0)
--- a/tests/test_proven_ages.py
+++ b/tests/test_proven_ages.py
@@ -1,16 +1,14 @@
-"""An age counts from what is proven, however late a word or an answer is.
-
-What was seen: an entry whose neighbours had ended and started again refused a
-key for good 2.6 s after it had been added. How it came about: a refusal is for
-good where the belief is young, and this one was older than it said. What may
-have caused it (that case itself was not brought about): the ages of a
-neighbour's words and of the store's answers were counted from their arrival, so
-what these had waited in a process that stood still, in a buffer or on a full
-link was left out. What proved the class: words that are read two seconds late
-make a belief of a tenth of a second; and an answer that was on its way for
-1.5 s confirms what was written meanwhile.
-
-Load pattern: words and answers come late; changes go on.
+"""An age counts from what is proven, however late an update or an answer is.
+
+Where ages count from the arrival of a relay's update or of the store's answer,
+they leave out the time that these waited in a suspended process, in a buffer or
+on a full link. An update that is read 2 s late then gives a view an age of
+0.1 s, and an answer that was on its way for 1.5 s confirms changes that were
+written meanwhile. An entry that takes such a view for young refuses unknown
+keys for good. This may be why one refused a key 2.6 s after it had been added,
+when the entry's neighbours had been restarted; that case was not reproduced.
+
+Load pattern: updates and answers arrive late; changes go on.
 Virtual time.
 """
 
@@ -36,7 +34,7 @@
 
 
 class LateStore:
-    """Make up each answer at once, and deliver it late."""
+    """Prepare each answer at once, and deliver it late."""
 
     def __init__(self, late_s: float) -> None:
         self.late_s = late_s
@@ -45,17 +43,17 @@
 
     @property
     def revision(self) -> int:
-        """Give the revision that was written last."""
+        """Return the revision that was written last."""
         return 1 + len(self.writes)
 
     def write(self) -> None:
-        """Write the key anew."""
+        """Write the key again."""
         self.writes.append(asyncio.get_running_loop().time())
         self.written.set()
         self.written = asyncio.Event()
 
     async def read(self, prefix: str) -> Snapshot:
-        """Give the key."""
+        """Return the key."""
         found = Record(b'', self.revision)
         await asyncio.sleep(self.late_s)
         return Snapshot({'k': found}, found.revision)
@@ -71,7 +69,7 @@
         return Changes(changes, revision)
 
     def understated_s(self, follower: RangeFollower) -> float:
-        """Give by how much an entry's belief is younger than the truth."""
+        """Return by how much an entry's view seems younger than it is."""
         missing = self.writes[max(0, follower.revision - 1) :]
         return follower.confirmed_at - min(
             missing, default=follower.confirmed_at
@@ -79,7 +77,7 @@
 
 
 async def _understated_by_late_answers_s(late_s: float, seed: int) -> float:
-    """Follow a store whose answers are late; give the worst lie."""
+    """Follow a store with late answers; return the worst understated age."""
     store = LateStore(late_s)
     rng = Random(seed)
     bounds = bounds_for(APPLY_S)
@@ -100,7 +98,7 @@
     """The store's answers are on their way for a while."""
 
     def test_no_age_is_younger_than_the_truth(self) -> None:
-        """Whatever was written before that age is known."""
+        """Everything that was written before that time is known."""
         for seed in range(4):
             for late_s in (0.005, 0.3, LATE_S):
                 with self.subTest(seed=seed, late_s=late_s):
@@ -111,12 +109,12 @@
 
 
 class SuspendedStream(MemoryStream):
-    """An end of a connection that is read late, once."""
+    """An end of a connection that is read late once."""
 
     suspended_until = float()
 
     async def read_within(self, silent_s: float) -> Frame:
-        """Read what came meanwhile only when the process runs again."""
+        """Read what arrived meanwhile only when the process runs again."""
         left_s = self.suspended_until - asyncio.get_running_loop().time()
         if left_s > 0:
             await asyncio.sleep(left_s)
@@ -124,7 +122,7 @@
 
 
 class RecordingDialler(MemoryDialler):
-    """Dial, and keep hold of what was dialled."""
+    """Dial, and record the connections."""
 
     def __init__(self, net: MemoryNet) -> None:
         super().__init__(net)
@@ -140,9 +138,10 @@
 
 
 async def _ages_with_late_updates() -> tuple[float, float]:
-    """Let a listener stand still while its teller ends; give how old it is.
+    """Suspend a subscriber while its relay ends; return two ages of its view.
 
-    That is what it believes, and since when it was told nothing.
+    They are the age that the subscriber counts, and the time since its relay
+    ended.
     """
     loop = asyncio.get_running_loop()
     net = MemoryNet(Random(1), 0, 0)
@@ -181,10 +180,10 @@
 
 
 class LateUpdatesTest(unittest.TestCase):
-    """Words of a neighbour are read late."""
+    """The updates of a relay are read late."""
 
     def test_age_counts_from_when_the_update_was_sent(self) -> None:
-        """Also where whoever said it has ended since."""
+        """Also where the relay that sent it has ended since."""
         counted_s, truth_s = virtual.run(_ages_with_late_updates())
         self.assertGreaterEqual(counted_s, truth_s)
 
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""News of the store that entries of one availability zone pass on."""
+"""Changes of the store that entries of one availability zone relay."""
 
 import asyncio
 import functools
@@ -45,7 +45,7 @@
         self._free_at = float()
 
     def write(self, payload: bytes, key: str = KEY) -> None:
-        """Write a key anew."""
+        """Write a key again."""
         self.revision += 1
         self.records[key] = Record(payload, self.revision)
         self.events.append(Change(key, self.records[key]))
@@ -53,7 +53,7 @@
         self.changed = asyncio.Event()
 
     async def carry(self, size: int, on_bytes: Callable[[], None]) -> None:
-        """Wait for the time that bytes take on the link, a piece in turn."""
+        """Wait for the time that bytes take on the link, piece by piece."""
         loop = asyncio.get_running_loop()
         while size > 0:
             piece = min(size, PIECE_BYTES)
@@ -67,11 +67,11 @@
 
 
 def ignore_bytes() -> None:
-    """Tell nobody of a piece."""
+    """Ignore that a piece arrived."""
 
 
 class StoreLink:
-    """One entry's way to the store."""
+    """The link of one entry to the store."""
 
     def __init__(self, store: FarStore, name: str) -> None:
         self._store = store
@@ -86,13 +86,13 @@
         return found
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for what was written since."""
+        """Wait for changes since a revision."""
         await self._connect()
         store = self._store
         if store.revision <= after:
             await happened(store.changed, wait_s)
         await self._connect()
-        # Each write is told, also those that a later one replaced.
+        # All writes are sent, also those that a later one replaced.
         changes = tuple(
             change
             for change in store.events
@@ -118,7 +118,7 @@
 
 
 class NewestSink:
-    """A sink that notes when each payload came."""
+    """A sink that records when the newest payload arrived."""
 
     def __init__(self) -> None:
         self.payload = b''
@@ -144,7 +144,7 @@
 
 
 class Entry:
-    """One entry: it follows, tells its neighbours, and hears one of them."""
+    """One entry: it follows the store, relays, and subscribes to a relay."""
 
     def __init__(self, name: str, store: FarStore, net: MemoryNet) -> None:
         self.name = name
@@ -169,7 +169,7 @@
         self._net = net
 
     async def accept(self, stream: FrameStream) -> None:
-        """Serve one listener."""
+        """Serve one subscriber."""
         await self.relay_server.serve(stream, await stream.read())
 
     def start(self) -> None:
@@ -183,7 +183,7 @@
 
 
 class Zone:
-    """All entries of an availability zone, told of each other."""
+    """All entries of an availability zone, which know each other."""
 
     def __init__(self) -> None:
         self.store = FarStore()
@@ -196,7 +196,7 @@
         self._announcing: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Let everybody learn the range and hear the first of them."""
+        """Let all entries learn the range and subscribe to the first relay."""
         self._announcing = asyncio.create_task(self._announce())
         for entry in self.entries:
             entry.start()
@@ -212,7 +212,7 @@
         await self.net.close()
 
     def first_relay(self) -> Entry:
-        """Give the entry that hears nobody."""
+        """Return the entry that has no relay."""
         now = asyncio.get_running_loop().time()
         unsubscribed = [
             entry
@@ -222,7 +222,7 @@
         return unsubscribed[0]
 
     def subscriber_of_first(self) -> Entry:
-        """Give an entry that hears the first."""
+        """Return an entry that subscribes to the first relay."""
         now = asyncio.get_running_loop().time()
         name = self.first_relay().name
         return next(
@@ -232,7 +232,7 @@
         )
 
     async def kill(self, entry: Entry) -> None:
-        """End a process without a word."""
+        """End a process without notice."""
         self._gone.add(entry.name)
         self.entries.remove(entry)
         self.net.drop((entry.name, PORT))
@@ -248,12 +248,12 @@
 
 
 def payloads(zone: Zone) -> set[bytes]:
-    """Give what the entries hold."""
+    """Return the payloads that the entries hold."""
     return {entry.sink.payload for entry in zone.entries}
 
 
 def played(act: Callable[[Zone], Awaitable[None]]) -> None:
-    """Play something in virtual time, in a zone that has learned the range."""
+    """Run act in virtual time, in a zone whose entries know the range."""
 
     async def play() -> None:
         zone = Zone()
@@ -267,7 +267,7 @@
 
 
 class ZoneTest(unittest.TestCase):
-    """Change the range, and see when and at what cost all know it."""
+    """Change the range, and check when and at what cost all know it."""
 
     def test_one_copy_crosses(self) -> None:
         """A large change reaches all in time, for little more than one copy."""
@@ -278,13 +278,13 @@
                 await asyncio.sleep(0.3)
             await asyncio.sleep(APPLY_S - 0.3)
             self.assertEqual(payloads(zone), {b'4' * LARGE_BYTES})
-            # Three versions, and the second teller may have asked too.
+            # Three versions, and the second relay may have read one, too.
             self.assertLess(zone.store.sent, 4 * LARGE_BYTES)
 
         played(act)
 
     def test_few_send_requests(self) -> None:
-        """While nothing changes one entry waits at the store, for all."""
+        """While nothing changes, one entry waits at the store for all."""
 
         async def act(zone: Zone) -> None:
             await asyncio.sleep(10)
@@ -295,13 +295,13 @@
         played(act)
 
     def test_a_relay_that_fails(self) -> None:
-        """All others know a change in time though their teller does not."""
+        """All others know a change in time though their relay does not."""
         for name in ('dead', 'frozen', 'cut off from the store'):
-            with self.subTest(teller=name):
+            with self.subTest(relay=name):
                 played(functools.partial(self._fail, name))
 
     def test_all_refused(self) -> None:
-        """All catch up in time though the store was closed to all of them."""
+        """All catch up in time though the store refused all of them."""
 
         async def act(zone: Zone) -> None:
             zone.store.cut.update(entry.name for entry in zone.entries)
@@ -320,7 +320,7 @@
         played(act)
 
     def test_ages_come_along(self) -> None:
-        """Whoever hears of a change late knows since when it stands."""
+        """An entry that gets a change late knows the change's age."""
 
         async def act(zone: Zone) -> None:
             late_entry = next(
@@ -340,7 +340,7 @@
         played(act)
 
     def test_outages_are_relayed(self) -> None:
-        """Whoever hears that the store was away doubts what goes missing."""
+        """A subscriber learns that the store was unreachable for its relay."""
 
         async def act(zone: Zone) -> None:
             first = zone.first_relay()
@@ -383,7 +383,7 @@
 
 
 class MirrorTest(unittest.TestCase):
-    """Whoever takes what a mirror says it lacks holds what the mirror holds."""
+    """A copy that applies a mirror's delta holds what the mirror holds."""
 
     @given(WRITES, strategies.integers(0, 30), strategies.integers(0, 30))
     def test_delta(
@@ -392,7 +392,7 @@
         started: int,
         known: int,
     ) -> None:
-        """From any revision on, whether the mirror saw it or not."""
+        """This holds from any revision, whether the mirror had it or not."""
         started = min(started, len(writes))
         known = min(known, len(writes))
         mirror = Mirror()
@@ -421,10 +421,10 @@
 
 
 class RelaySelectorTest(unittest.TestCase):
-    """Choose whom to hear."""
+    """Choose relays."""
 
     def test_order(self) -> None:
-        """Nobody hears one that hears him, whoever knows whom."""
+        """No entry subscribes to itself by way of others, whoever it knows."""
         names = [f'10.0.0.{number}' for number in range(40)]
         rng = Random(5)
         relay_of = {}
@@ -439,7 +439,7 @@
                 self.assertLessEqual(len(seen), len(names))
 
     def test_a_failed_relay_has_a_cooldown(self) -> None:
-        """The second takes over, and then the store itself."""
+        """The second relay takes over, and then the store itself."""
         names = [f'10.0.0.{number}' for number in range(5)]
         last = RelaySelector(names[0], Random(1))
         for name in names:
--- a/tests/test_relaying_quiet.py
+++ b/tests/test_relaying_quiet.py
@@ -1,4 +1,4 @@
-"""Entries in a quiet hour, and a store that falls silent for some."""
+"""Entries without changes, and a store that falls silent for some."""
 
 import asyncio
 import math
@@ -17,7 +17,8 @@
 from tests import test_relaying as zones
 
 BOUND_S = 3.0
-# What resident entries trust at most (programs/resident_entry.py).
+# The maximum age of a view that resident entries trust
+# (programs/resident_entry.py).
 MAX_AGE_S = 0.6 * BOUND_S
 HEARTBEAT_S = 0.2
 
@@ -31,16 +32,16 @@
         self.requested_at: list[float] = []
 
     async def read(self, prefix: str) -> Snapshot:
-        """Give one key."""
+        """Return one key."""
         return Snapshot({'k': Record(b'1', 1)}, 1)
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait in vain, fail, or never answer."""
+        """Wait without changes, fail, or send no answer."""
         if self.is_failing:
             self.requested_at.append(asyncio.get_running_loop().time())
             raise StoreError('store-unreachable', '')
         if self.is_silent:
-            # As the store's client: no first byte (wait_s and 2 s).
+            # As the store's client: no first byte within wait_s and 2 s.
             await asyncio.sleep(wait_s + 2)
             raise StoreError('store-unreachable', 'silent')
         await asyncio.sleep(wait_s + 0.005)
@@ -48,20 +49,20 @@
 
 
 def new_follower(store: QuietStore) -> RangeFollower:
-    """Give a follower within a bound of three seconds."""
+    """Return a follower with a bound of 3 s."""
     return RangeFollower(store, '', mock.Mock(), Random(1), bounds_for(BOUND_S))
 
 
 def update_without_changes(age_s: float, revision: int = 1) -> RelayedUpdate:
-    """Give a neighbour's word without news."""
+    """Return a relay's update without changes."""
     return RelayedUpdate(revision, age_s, math.inf, math.inf, 0, False, ())
 
 
 class RangeFollowerTest(unittest.TestCase):
-    """An entry in a quiet hour."""
+    """An entry while nothing changes."""
 
     def test_a_subscriber_that_loses_its_relay_stays_up_to_date(self) -> None:
-        """Nothing is wrong with the store: no belief gets old."""
+        """While the store answers, no view gets old."""
 
         async def play() -> None:
             follower = new_follower(QuietStore())
@@ -71,7 +72,7 @@
             for _ in range(10):
                 follower.apply_update(update_without_changes(0.1))
                 await asyncio.sleep(HEARTBEAT_S)
-            # The neighbour is gone from now on.
+            # The relay is gone from now on.
             oldest_s = 0.0
             until = loop.time() + 4
             while loop.time() < until:
@@ -83,7 +84,7 @@
         virtual.run(play())
 
     def test_confirmed_at_never_goes_back(self) -> None:
-        """An answer that began long ago makes no belief older."""
+        """An answer that began long ago makes no view older."""
 
         async def play() -> None:
             store = zones.FarStore()
@@ -95,7 +96,7 @@
             follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 3000000)
-            # It is turned to another entry while its own answer comes.
+            # It uses a fallback relay while its own answer arrives.
             follower.uses_fallback_relay = True
             set_back_s = 0.0
             for _ in range(400):
@@ -111,7 +112,7 @@
         virtual.run(play())
 
     def test_failures_are_over_when_a_relay_sends_updates(self) -> None:
-        """The first failure after a good hour is a first one."""
+        """The first failure after many good updates counts as a first one."""
 
         async def play() -> None:
             store = QuietStore()
@@ -122,7 +123,7 @@
             store.is_failing = True
             await asyncio.sleep(12)
             store.is_failing = False
-            # From now on a neighbour tells, all the while.
+            # From now on a relay sends updates all the time.
             for _ in range(300):
                 follower.apply_update(update_without_changes(0.1))
                 await asyncio.sleep(HEARTBEAT_S)
@@ -136,10 +137,10 @@
         virtual.run(play())
 
     def test_slow_answers_isolate_nobody(self) -> None:
-        """What is old because its answer took long needs no other neighbour.
+        """A view that is old because its answer took long needs no other relay.
 
-        Whoever borrows leaves again as soon as the store has answered: both
-        at once would mean to connect and leave for ever.
+        An entry leaves a fallback relay as soon as the store has answered. If a
+        slow answer also made it isolated, it would connect and leave forever.
         """
 
         async def play() -> None:
@@ -152,7 +153,7 @@
         virtual.run(play())
 
     def test_answers_that_never_end_are_trusted_once(self) -> None:
-        """A neighbour whose answers flow and break off stands for nothing."""
+        """Answers of a relay that break off don't replace the store."""
 
         async def play() -> None:
             store = zones.FarStore()
@@ -184,7 +185,7 @@
         virtual.run(play())
 
     def test_a_silent_store_isolates(self) -> None:
-        """Who hears nothing for long may hear anybody, failed or not."""
+        """An entry without any news may use any relay, failed or not."""
 
         async def play() -> None:
             store = QuietStore()
@@ -201,7 +202,7 @@
 
 
 class SilentLink(zones.StoreLink):
-    """A way to a store that gives some entries no answer at all."""
+    """A link to a store that sends some entries no answer at all."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Wait as the store's client does for a first byte."""
@@ -218,16 +219,16 @@
 
 
 class ZoneTest(unittest.TestCase):
-    """A zone with a store that is well."""
+    """A zone whose store works."""
 
     def test_store_is_silent_to_the_first_relay(self) -> None:
-        """Whoever hears nobody before it has a change in time, too."""
+        """An entry without a relay before it has a change in time, too."""
 
         late_s: list[float] = []
 
         async def act(zone: zones.Zone) -> None:
             first = zone.first_relay()
-            # Anywhere in a wait.
+            # At any moment of a wait.
             await asyncio.sleep(len(late_s) * 0.05)
             zone.store.cut.add(first.name)
             zone.store.write(b'2')
@@ -241,7 +242,7 @@
         self.assertLess(max(late_s), zones.APPLY_S)
 
     def test_no_view_gets_old_when_the_first_relay_ends(self) -> None:
-        """The store is well, so nobody need refuse by an old belief."""
+        """While the store works, no entry need refuse by an old view."""
 
         async def act(zone: zones.Zone) -> None:
             loop = asyncio.get_running_loop()
@@ -263,10 +264,10 @@
 
 
 class FeedTest(unittest.TestCase):
-    """Since when a version stands that nobody saw come."""
+    """The age of a version that no entry saw being written."""
 
     def test_a_guess_is_not_made_younger_by_reading_anew(self) -> None:
-        """What stood there before did not come just now."""
+        """A record that was there before is not taken for a new one."""
         clock = mock.Mock()
         clock.now.return_value = 100.0
         wanted = WantedVersions(8)
--- a/tests/test_relaying_seeds.py
+++ b/tests/test_relaying_seeds.py
@@ -1,4 +1,4 @@
-"""Zones under troubles drawn by a seed: nobody in touch falls behind."""
+"""Zones with failures drawn by a seed: no entry in touch falls behind."""
 
 import asyncio
 import unittest
@@ -16,7 +16,7 @@
 
 
 class Play:
-    """One zone, its troubles, and since when each entry is in touch."""
+    """One zone, its failures, and since when each entry is in touch."""
 
     def __init__(self, seed: int) -> None:
         self.zone = Zone()
@@ -27,7 +27,7 @@
         self._held: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Write and trouble by turns; look at everybody all the time."""
+        """Draw writes and failures, and check all entries all the time."""
         try:
             await self.zone.start()
             for _ in range(STEPS):
@@ -101,10 +101,10 @@
 
 
 class SeedsTest(unittest.TestCase):
-    """Troubles of the store for some, all or one, and VMs that stand still."""
+    """The store fails for some entries, all or one, or VMs are suspended."""
 
     def test_nobody_in_touch_is_behind(self) -> None:
-        """Who can reach the store holds what stands for long enough."""
+        """An entry that reaches the store has each change within its bound."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(virtual.run(_behind(seed)), [])
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -1,4 +1,4 @@
-"""Where news of the store is lost, delayed or asked for too often."""
+"""Changes of the store that are lost, delayed or requested too often."""
 
 import asyncio
 import unittest
@@ -21,13 +21,13 @@
 
 
 class CountingStore(zones.FarStore):
-    """A far store that counts the reads that begin."""
+    """A store that counts the reads that begin."""
 
     reads = 0
 
 
 class CountingLink(zones.StoreLink):
-    """An entry's way to it."""
+    """The link of an entry to it."""
 
     async def read(self, prefix: str) -> Snapshot:
         """Read everything."""
@@ -36,16 +36,16 @@
 
 
 class SlowLink(zones.StoreLink):
-    """A way to a store that takes half a second over each answer."""
+    """A link to a store that takes 0.5 s for each answer."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for what was written since."""
+        """Wait for changes since a revision."""
         await asyncio.sleep(0.5)
         return await super().wait(prefix, after, wait_s)
 
 
 def new_follower() -> RangeFollower:
-    """Give one that follows a store of its own, and has not begun."""
+    """Return a follower of a store of its own that has not started."""
     return RangeFollower(
         zones.StoreLink(zones.FarStore(), 'me'),
         '',
@@ -70,10 +70,10 @@
 
 
 class ZoneTroubleTest(unittest.TestCase):
-    """Play a zone in virtual time."""
+    """Run a zone in virtual time."""
 
     def test_first_relay_refused(self) -> None:
-        """Whoever the store turns away hears a neighbour that it serves."""
+        """An entry that the store refuses gets changes from another one."""
 
         async def act(zone: zones.Zone) -> None:
             first = zone.first_relay()
@@ -85,12 +85,12 @@
         zones.played(act)
 
     def test_all_start_at_once(self) -> None:
-        """Nobody takes a read back that it must begin again at once."""
+        """No entry cancels a read that it must repeat at once."""
         reads = virtual.run(_reads_of_a_start())
         self.assertLessEqual(reads, zones.ENTRIES)
 
     def test_slow_store(self) -> None:
-        """While a slow store answers the first, the others leave it alone."""
+        """While a slow store answers the relays, others send no requests."""
 
         with (
             mock.patch.object(zones, 'StoreLink', SlowLink),
@@ -104,11 +104,11 @@
                 calls.append(zone.store.calls // 2)
 
             zones.played(act)
-        # Two tellers, each of whose waits lasts 1.1 s.
+        # Two relays, whose waits last 1.1 s each.
         self.assertLess(calls[0], 2 * 10 / 1.1 + 4)
 
     def test_one_cut_off_makes_few_connections(self) -> None:
-        """A teller that hears nothing itself is not dialled all the time."""
+        """A relay that is out of touch itself is not dialled all the time."""
 
         async def act(zone: zones.Zone) -> None:
             zone.store.cut.add(zone.first_relay().name)
@@ -116,17 +116,17 @@
                 MemoryNet, 'dial', autospec=True, side_effect=MemoryNet.dial
             ) as dial:
                 await asyncio.sleep(10)
-            # One in two seconds for each.
+            # Each entry dials once in 2 s.
             self.assertLess(dial.call_count, 5 * zones.ENTRIES)
 
         zones.played(act)
 
 
 class AgeTest(unittest.TestCase):
-    """Since when a follower knows what it knows."""
+    """The age of a follower's view."""
 
     def test_age_counts_from_the_begin_of_an_answer(self) -> None:
-        """What was written while an answer came is not known with it."""
+        """A change written while an answer arrives is not part of it."""
 
         async def play() -> None:
             store = zones.FarStore()
@@ -138,7 +138,7 @@
             store.records[KEY] = Record(b'1' * 6000000, 1)
             follower.start()
             await asyncio.sleep(0.1)
-            # Written after the store made up its answer, which takes 4 s.
+            # Written after the store made its answer, which takes 4 s to come.
             store.write(b'2')
             await follower.synced.wait()
             age_s = asyncio.get_running_loop().time() - follower.confirmed_at
@@ -150,13 +150,10 @@
     def test_a_change_is_as_old_as_the_answer_that_brings_it(self) -> None:
         """It was written before the store began to answer.
 
-        Seen in a trial of this class: a change whose answer takes 4 s to come
-        is told with an age of 0. How it comes about: the link to the store is
-        narrow, or full of whole configurations. Cause: changes that the store
-        itself tells have the age of something that comes just now; only the
-        belief counts from the answer's begin. What that may do: a version's
-        bound counts from then, here and at whoever is told by this entry alone.
-        What proved it: the age that the sink is given, in virtual time.
+        On a link that is narrow or full of whole configurations, an answer may
+        take 4 s to arrive. If its changes had an age of 0, the bound of a
+        version would count from then, here and at subscribers of this entry
+        alone.
         """
 
         async def play() -> None:
@@ -176,7 +173,7 @@
         virtual.run(play())
 
     def test_an_older_answer_makes_no_view_older(self) -> None:
-        """What a neighbour confirmed meanwhile stays confirmed."""
+        """A confirmation by a relay meanwhile stays valid."""
 
         async def play() -> None:
             follower = new_follower()
@@ -188,7 +185,7 @@
         virtual.run(play())
 
     def test_a_slow_read_is_not_repeated(self) -> None:
-        """However long it took, what comes next is waited for."""
+        """However long a read took, a wait follows it."""
 
         async def play() -> None:
             CountingStore.reads = 0
@@ -207,7 +204,7 @@
         virtual.run(play())
 
     def test_ages_come_with_the_whole(self) -> None:
-        """A whole range that a neighbour tells brings its ages, too."""
+        """A whole range from a relay has the ages of its keys."""
 
         async def play() -> None:
             follower = new_follower()
@@ -229,10 +226,10 @@
 
 
 class RelayedOutagesTest(unittest.TestCase):
-    """What a follower makes of a neighbour's word."""
+    """Outages that a relay reports."""
 
     def test_outages_are_passed_on(self) -> None:
-        """Whoever is told of an outage tells of one."""
+        """A follower counts the outages that its relay reports."""
 
         async def play() -> None:
             follower = new_follower()
@@ -247,10 +244,10 @@
 
 
 class RelayServerTest(unittest.TestCase):
-    """What a teller sends."""
+    """The updates that a relay sends."""
 
     def test_whole_is_whole(self) -> None:
-        """What was packed as changes is never sent as the whole range."""
+        """Changes that were packed are never sent as the whole range."""
 
         async def play() -> None:
             follower = new_follower()
@@ -277,7 +274,7 @@
 
             before = await request_after(2)
             self.assertFalse(before.whole)
-            # Read anew after an outage; nothing was written meanwhile.
+            # Read again after an outage; nothing was written meanwhile.
             mirror.replace_all(Snapshot({**whole, KEY: new}, 3), 1)
             after = await request_after(2)
             await net.close()
@@ -289,10 +286,10 @@
 
 
 class OwnAnswerTest(unittest.TestCase):
-    """An answer of one's own, and a neighbour's that never comes to an end."""
+    """An own answer, and one of the relay that never ends."""
 
     def test_own_answer_comes_in_time(self) -> None:
-        """It is given up for the neighbour's, and asked for again in time."""
+        """It is cancelled for the relay's answer, and repeated in time."""
 
         async def play() -> None:
             store = zones.FarStore()
@@ -305,7 +302,7 @@
             store.write(b'2' * zones.LARGE_BYTES * 3)
             await asyncio.sleep(0.4)
             self.assertEqual(sink.payload, b'1')
-            # The neighbour knows no more, and its own answer begins.
+            # The relay knows no more, and its own answer begins.
             loop = asyncio.get_running_loop()
             written_at = loop.time()
             for nth in range(20):
