--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -81,7 +81,9 @@
 class RangeFollowerTest(unittest.IsolatedAsyncioTestCase):
     """Read once, then wait; read again where history is lost."""
 
-    async def play(self, *steps: Step) -> tuple[ScriptedStore, RecordingSink]:
+    async def follow_steps(
+        self, *steps: Step
+    ) -> tuple[ScriptedStore, RecordingSink]:
         """Follow a store through all steps."""
         store = ScriptedStore(*steps)
         sink = RecordingSink()
@@ -94,7 +96,7 @@
 
     async def test_reads_once_and_goes_on_from_there(self) -> None:
         """Each wait begins where the last one ended."""
-        store, sink = await self.play(
+        store, sink = await self.follow_steps(
             Snapshot({'k': ONE}, 5),
             Changes((), 5),
             Changes((TWO,), 6),
@@ -107,7 +109,7 @@
 
     async def test_lost_history_is_read_again(self) -> None:
         """The whole range is read; the store doesn't count as unreachable."""
-        store, sink = await self.play(
+        store, sink = await self.follow_steps(
             Snapshot({'k': ONE}, 5),
             HistoryLostError('store-history-lost'),
             Snapshot({}, 9),
@@ -119,7 +121,7 @@
 
     async def test_an_unreachable_store_comes_back(self) -> None:
         """The known records stay, and the next wait goes on from there."""
-        store, sink = await self.play(
+        store, sink = await self.follow_steps(
             StoreError('store-unreachable'),
             Snapshot({'k': ONE}, 5),
             StoreError('store-unreachable'),
@@ -164,9 +166,9 @@
                 self.assertLessEqual(follower.confirmed_at, times[nth])
 
 
-def answer(status: int, said: Any = None) -> bytes:
+def answer(status: int, message: Any = None) -> bytes:
     """Return an encoded answer of the store."""
-    body = json.dumps(said).encode()
+    body = json.dumps(message).encode()
     head = f'HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -14,7 +14,7 @@
     RegionEntry,
     Regions,
     configuration,
-    played,
+    run_scenario,
 )
 
 WHOLE_BYTES = len(configuration(1, ROUTES)) * 4 // 3
@@ -36,9 +36,9 @@
             )
             self.assertLess(regions.links.sent[ZONES[0], 'far'], WHOLE_BYTES)
 
-        played(act)
+        run_scenario(act)
 
-    def test_everybody(self) -> None:
+    def test_all_entries(self) -> None:
         """Fewer than 4 copies cross, as the relays of a zone serve others."""
 
         async def act(regions: Regions) -> None:
@@ -52,7 +52,7 @@
                 regions.links.sent[ZONES[0], 'far'], 4 * WHOLE_BYTES
             )
 
-        played(act)
+        run_scenario(act)
 
 
 async def restart(
--- a/tests/test_narrow_regions.py
+++ b/tests/test_narrow_regions.py
@@ -306,10 +306,10 @@
         return (at for version, at in self.written.items() if version > held)
 
 
-def played(act: Callable[[Regions], Awaitable[None]]) -> None:
+def run_scenario(act: Callable[[Regions], Awaitable[None]]) -> None:
     """Run act in virtual time, in regions whose entries know the range."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         regions = Regions()
         try:
             await regions.start()
@@ -317,7 +317,7 @@
         finally:
             await regions.close()
 
-    virtual.run(play())
+    virtual.run(scenario())
 
 
 class NarrowRegionsTest(unittest.TestCase):
@@ -334,7 +334,7 @@
             self.assertEqual(regions.behind(), {})
             self.assertLess(max(regions.late_s.values()), APPLY_S)
 
-        played(act)
+        run_scenario(act)
 
     def test_small_change_of_a_large_configuration(self) -> None:
         """It takes a third of the bound, with links at a third of their rate.
@@ -350,7 +350,7 @@
             whole = len(configuration(2)) * 4 // 3
             self.assertLess(regions.links.sent[ZONES[0], ZONES[2]], whole / 10)
 
-        played(act)
+        run_scenario(act)
 
     def test_a_zone_that_the_store_refuses(self) -> None:
         """It gets a change from the other zones within the bound."""
@@ -363,7 +363,7 @@
             await asyncio.sleep(APPLY_S)
             self.assertEqual(regions.behind(), {})
 
-        played(act)
+        run_scenario(act)
 
     def test_a_zone_whose_relays_are_suspended(self) -> None:
         """Its entries get changes from other zones, not all from the store."""
@@ -390,7 +390,7 @@
             ]
             self.assertLess(max(late_s), APPLY_S)
 
-        played(act)
+        run_scenario(act)
 
 
 if __name__ == '__main__':
--- a/tests/test_neighbours.py
+++ b/tests/test_neighbours.py
@@ -21,7 +21,7 @@
 class NeighboursTest(unittest.TestCase):
     """The graph over all VMs."""
 
-    def test_everybody_in_a_small_fleet(self) -> None:
+    def test_all_in_a_small_fleet(self) -> None:
         """In a fleet of 13 VMs, each has all others as neighbours."""
         found = neighbours('vm-0', VMS[:13], 'm', COUNT)
         self.assertEqual(set(found), set(VMS[1:13]))
@@ -46,7 +46,7 @@
             reached |= {far for near in reached for far in found[near]}
         self.assertEqual(reached, set(VMS))
 
-    def test_death_moves_nobody(self) -> None:
+    def test_a_failed_vm_moves_no_other(self) -> None:
         """Failed VMs keep their positions, so the others keep theirs."""
         intent = Intent(model='m', version='v', replicas=20)
         deployment = Deployment(intents=[intent])
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -252,10 +252,10 @@
     return {entry.sink.payload for entry in zone.entries}
 
 
-def played(act: Callable[[Zone], Awaitable[None]]) -> None:
+def run_scenario(act: Callable[[Zone], Awaitable[None]]) -> None:
     """Run act in virtual time, in a zone whose entries know the range."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         zone = Zone()
         try:
             await zone.start()
@@ -263,7 +263,7 @@
         finally:
             await zone.close()
 
-    virtual.run(play())
+    virtual.run(scenario())
 
 
 class ZoneTest(unittest.TestCase):
@@ -281,7 +281,7 @@
             # Three versions, and the second relay may have read one, too.
             self.assertLess(zone.store.sent, 4 * LARGE_BYTES)
 
-        played(act)
+        run_scenario(act)
 
     def test_few_send_requests(self) -> None:
         """While nothing changes, one entry waits at the store for all."""
@@ -292,13 +292,13 @@
             # Each wait counts twice, when it begins and when it ends.
             self.assertLess(zone.store.calls, 2 * 10 / each_s + 4)
 
-        played(act)
+        run_scenario(act)
 
     def test_a_relay_that_fails(self) -> None:
         """All others know a change in time though their relay does not."""
         for name in ('dead', 'frozen', 'cut off from the store'):
             with self.subTest(relay=name):
-                played(functools.partial(self._fail, name))
+                run_scenario(functools.partial(self._fail, name))
 
     def test_all_refused(self) -> None:
         """All catch up in time though the store refused all of them."""
@@ -317,7 +317,7 @@
             )
             self.assertLess(late_s, APPLY_S)
 
-        played(act)
+        run_scenario(act)
 
     def test_ages_come_along(self) -> None:
         """An entry that gets a change late knows the change's age."""
@@ -337,7 +337,7 @@
             self.assertEqual(late_entry.sink.payload, b'2')
             self.assertAlmostEqual(late_entry.sink.ages[-1], 2, delta=0.1)
 
-        played(act)
+        run_scenario(act)
 
     def test_outages_are_relayed(self) -> None:
         """A subscriber learns that the store was unreachable for its relay."""
@@ -352,7 +352,7 @@
             await asyncio.sleep(1)
             self.assertGreater(second.sink.outages, 0)
 
-        played(act)
+        run_scenario(act)
 
     async def _fail(self, name: str, zone: Zone) -> None:
         first = zone.first_relay()
--- a/tests/test_relaying_quiet.py
+++ b/tests/test_relaying_quiet.py
@@ -64,7 +64,7 @@
     def test_a_subscriber_that_loses_its_relay_stays_up_to_date(self) -> None:
         """While the store answers, no view gets old."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower(QuietStore())
             follower.start()
             loop = asyncio.get_running_loop()
@@ -81,12 +81,12 @@
             await follower.close()
             self.assertLess(oldest_s, MAX_AGE_S)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_confirmed_at_never_goes_back(self) -> None:
         """An answer that began long ago makes no view older."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
             link = zones.StoreLink(store, 'me')
             follower = RangeFollower(
@@ -109,12 +109,12 @@
             await follower.close()
             self.assertEqual(set_back_s, 0)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_failures_are_over_when_a_relay_sends_updates(self) -> None:
         """The first failure after many good updates counts as a first one."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = QuietStore()
             follower = new_follower(store)
             follower.has_relays = True
@@ -134,7 +134,7 @@
             first, second = store.requested_at[:2]
             self.assertLess(second - first, 0.4)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_slow_answers_isolate_nobody(self) -> None:
         """A view that is old because its answer took long needs no other relay.
@@ -143,19 +143,19 @@
         slow answer also made it isolated, it would connect and leave forever.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower(QuietStore())
             loop = asyncio.get_running_loop()
             follower._note_answer(loop.time() - 2 * BOUND_S)
             self.assertFalse(follower.is_store_silent)
             self.assertFalse(follower.is_isolated)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_answers_that_never_end_are_trusted_once(self) -> None:
         """Answers of a relay that break off don't replace the store."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
             sink = zones.NewestSink()
             follower = RangeFollower(
@@ -182,12 +182,12 @@
             self.assertEqual(sink.payload, b'2')
             self.assertLess(sink.applied_at - written_at, BOUND_S)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_a_silent_store_isolates(self) -> None:
         """An entry without any news may use any relay, failed or not."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = QuietStore()
             follower = new_follower(store)
             follower.start()
@@ -198,7 +198,7 @@
             await follower.close()
             self.assertTrue(is_isolated)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 class SilentLink(zones.StoreLink):
@@ -238,7 +238,7 @@
 
         for _ in range(20):
             with mock.patch.object(zones, 'StoreLink', SilentLink):
-                zones.played(act)
+                zones.run_scenario(act)
         self.assertLess(max(late_s), zones.APPLY_S)
 
     def test_no_view_gets_old_when_the_first_relay_ends(self) -> None:
@@ -260,7 +260,7 @@
                 await asyncio.sleep(0.01)
             self.assertLess(oldest_s, MAX_AGE_S)
 
-        zones.played(act)
+        zones.run_scenario(act)
 
 
 class FeedTest(unittest.TestCase):
--- a/tests/test_relaying_seeds.py
+++ b/tests/test_relaying_seeds.py
@@ -10,12 +10,12 @@
 SEEDS = range(6)
 STEPS = 40
 STEP_S = 0.5
-TROUBLE_S = (0.3, 9.0)
+FAILURE_S = (0.3, 9.0)
 MIN_BYTES = 10
 MAX_BYTES = 100000
 
 
-class Play:
+class Scenario:
     """One zone, its failures, and since when each entry is in touch."""
 
     def __init__(self, seed: int) -> None:
@@ -55,25 +55,25 @@
         count = self._rng.choice((1, len(entries) // 3, len(entries)))
         for entry in self._rng.sample(entries, count):
             self.zone.store.cut.add(entry.name)
-            self._trouble(entry)
+            self._begin_failure(entry)
 
     def _freeze(self) -> None:
         entry = self._rng.choice(self.zone.entries)
         loop = asyncio.get_running_loop()
         self.zone.store.cut.add(entry.name)
-        lasts_s = self._trouble(entry)
+        lasts_s = self._begin_failure(entry)
         frozen = self.zone.net.frozen_until
         frozen[(entry.name, PORT)] = loop.time() + lasts_s
 
-    def _trouble(self, entry: Entry) -> float:
+    def _begin_failure(self, entry: Entry) -> float:
         loop = asyncio.get_running_loop()
-        lasts_s = self._rng.uniform(*TROUBLE_S)
+        lasts_s = self._rng.uniform(*FAILURE_S)
         until = max(self._free_at.get(entry.name, 0), loop.time() + lasts_s)
         self._free_at[entry.name] = until
-        loop.call_at(until, self._ended, entry.name, until)
+        loop.call_at(until, self._end_failure, entry.name, until)
         return until - loop.time()
 
-    def _ended(self, name: str, until: float) -> None:
+    def _end_failure(self, name: str, until: float) -> None:
         if self._free_at.get(name) == until:
             self.zone.store.cut.discard(name)
 
@@ -103,17 +103,17 @@
 class SeedsTest(unittest.TestCase):
     """The store fails for some entries, all or one, or VMs are suspended."""
 
-    def test_nobody_in_touch_is_behind(self) -> None:
+    def test_no_entry_in_touch_is_behind(self) -> None:
         """An entry that reaches the store has each change within its bound."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                self.assertEqual(virtual.run(_behind(seed)), [])
+                self.assertEqual(virtual.run(_entries_behind(seed)), [])
 
 
-async def _behind(seed: int) -> list[str]:
-    play = Play(seed)
-    await play.run()
-    return play.behind[:5]
+async def _entries_behind(seed: int) -> list[str]:
+    scenario = Scenario(seed)
+    await scenario.run()
+    return scenario.behind[:5]
 
 
 if __name__ == '__main__':
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -69,7 +69,7 @@
     return CountingStore.reads
 
 
-class ZoneTroubleTest(unittest.TestCase):
+class ZoneFailuresTest(unittest.TestCase):
     """Run a zone in virtual time."""
 
     def test_first_relay_refused(self) -> None:
@@ -82,7 +82,7 @@
             await asyncio.sleep(zones.APPLY_S + 5)
             self.assertEqual(zones.payloads(zone), {b'2'})
 
-        zones.played(act)
+        zones.run_scenario(act)
 
     def test_all_start_at_once(self) -> None:
         """No entry cancels a read that it must repeat at once."""
@@ -103,7 +103,7 @@
                 await asyncio.sleep(10)
                 calls.append(zone.store.calls // 2)
 
-            zones.played(act)
+            zones.run_scenario(act)
         # Two relays, whose waits last 1.1 s each.
         self.assertLess(calls[0], 2 * 10 / 1.1 + 4)
 
@@ -119,7 +119,7 @@
             # Each entry dials once in 2 s.
             self.assertLess(dial.call_count, 5 * zones.ENTRIES)
 
-        zones.played(act)
+        zones.run_scenario(act)
 
 
 class AgeTest(unittest.TestCase):
@@ -128,7 +128,7 @@
     def test_age_counts_from_the_begin_of_an_answer(self) -> None:
         """A change written while an answer arrives is not part of it."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
             link = zones.StoreLink(store, 'me')
             follower = RangeFollower(
@@ -145,7 +145,7 @@
             await follower.close()
             self.assertGreater(age_s, 3.5)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_a_change_is_as_old_as_the_answer_that_brings_it(self) -> None:
         """It was written before the store began to answer.
@@ -156,7 +156,7 @@
         alone.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
             link = zones.StoreLink(store, 'me')
             sink = zones.NewestSink()
@@ -170,24 +170,24 @@
             self.assertEqual(len(sink.ages), 1)
             self.assertGreater(sink.ages[0], 3.5)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_an_older_answer_makes_no_view_older(self) -> None:
         """A confirmation by a relay meanwhile stays valid."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             follower.apply_update(RelayedUpdate(1, 0, 0, 0, 0, False, ()))
-            heard_at = follower.confirmed_at
-            follower._note_answer(heard_at - 1)
-            self.assertEqual(follower.confirmed_at, heard_at)
+            confirmed_at = follower.confirmed_at
+            follower._note_answer(confirmed_at - 1)
+            self.assertEqual(follower.confirmed_at, confirmed_at)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_a_slow_read_is_not_repeated(self) -> None:
         """However long a read took, a wait follows it."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             CountingStore.reads = 0
             store = CountingStore()
             store.records[KEY] = Record(b'1' * zones.LINK_BYTES_PER_S * 8, 1)
@@ -201,12 +201,12 @@
             await follower.close()
             self.assertEqual(CountingStore.reads, 1)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_ages_come_with_the_whole(self) -> None:
         """A whole range from a relay has the ages of its keys."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             update = RelayedUpdate(
                 9,
@@ -222,7 +222,7 @@
             delta = follower.mirror.delta_since(0, now)
             self.assertEqual([change.age_s for change in delta.changes], [5])
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 class RelayedOutagesTest(unittest.TestCase):
@@ -231,7 +231,7 @@
     def test_outages_are_passed_on(self) -> None:
         """A follower counts the outages that its relay reports."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             before = follower.outages
             for outages in (0, 1):
@@ -240,7 +240,7 @@
                 )
             self.assertGreater(follower.outages, before)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 class RelayServerTest(unittest.TestCase):
@@ -249,7 +249,7 @@
     def test_whole_is_whole(self) -> None:
         """Changes that were packed are never sent as the whole range."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             mirror = follower.mirror
             whole = {KEY: Record(b'1', 1), 'servers/a': Record(b'a', 2)}
@@ -282,7 +282,7 @@
             if after.whole:
                 self.assertEqual(keys, set(whole))
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 class OwnAnswerTest(unittest.TestCase):
@@ -291,7 +291,7 @@
     def test_own_answer_comes_in_time(self) -> None:
         """It is cancelled for the relay's answer, and repeated in time."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
             link = zones.StoreLink(store, 'me')
             sink = zones.NewestSink()
@@ -318,7 +318,7 @@
             self.assertEqual(sink.payload[:1], b'2')
             self.assertLess(late_s, zones.APPLY_S)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 if __name__ == '__main__':
--- a/tests/test_shared_ends.py
+++ b/tests/test_shared_ends.py
@@ -10,7 +10,7 @@
 
 from linnetwood.calls.crashes import CrashRecord
 from linnetwood.platform.crashstore import crash_key
-from tests.test_narrow_regions import ZONES, RegionEntry, Regions, played
+from tests.test_narrow_regions import ZONES, RegionEntry, Regions, run_scenario
 
 CRASHES = [CrashRecord('c0' * 12, f'{number:016x}') for number in range(3)]
 KNOWN_WITHIN_S = 3.0
@@ -52,7 +52,7 @@
             await asyncio.sleep(KNOWN_WITHIN_S - 0.5)
             self.assert_known(regions.entries)
 
-        played(act)
+        run_scenario(act)
 
     def test_a_zone_that_the_store_turns_away(self) -> None:
         """It hears of them from the others."""
@@ -65,7 +65,7 @@
             await asyncio.sleep(KNOWN_WITHIN_S)
             self.assert_known(regions.entries)
 
-        played(act)
+        run_scenario(act)
 
     def test_an_entry_that_starts(self) -> None:
         """It learns them with all the rest."""
@@ -78,7 +78,7 @@
             await asyncio.sleep(KNOWN_WITHIN_S)
             self.assert_known([new])
 
-        played(act)
+        run_scenario(act)
 
     def test_a_zone_that_returns(self) -> None:
         """The store turned it away and nobody was named to it meanwhile."""
@@ -97,7 +97,7 @@
             await asyncio.sleep(KNOWN_WITHIN_S)
             self.assert_known(lost)
 
-        played(act)
+        run_scenario(act)
 
 
 if __name__ == '__main__':
