--- a/src/linnetwood/fleet/rangefollower.py
+++ b/src/linnetwood/fleet/rangefollower.py
@@ -157,9 +157,9 @@
         self._trusted_until = max(self._trusted_until, now + trusted_s)
         if trusted_s > 0:
             self._failures = 0
-        # The own request is cancelled even if its answer has begun to arrive:
-        # after an outage all answers would share the link, and the relay's
-        # would come later for all.
+        # The entry's own request is cancelled even if its answer has begun to
+        # arrive: after an outage the answers to all entries would share the
+        # link, and the relay's would arrive later for all.
         if self._request_task and self._revision and now < self._trusted_until:
             self._request_task.cancel()
         return trusted_s > 0
--- a/tests/test_narrow_regions.py
+++ b/tests/test_narrow_regions.py
@@ -20,10 +20,10 @@
 from collections.abc import Awaitable, Callable, Iterable
 from random import Random
 
-from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
-from linnetwood.fleet.startupsync import StartupSync
 from linnetwood.fleet.rangerelayserver import RangeRelayServer
 from linnetwood.fleet.ranges import Record
+from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
+from linnetwood.fleet.startupsync import StartupSync
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet, MemoryStream
 from linnetwood.wire.connections import Address
@@ -271,8 +271,12 @@
     def behind(self) -> dict[str, int]:
         """Return the versions of entries that lack the newest one."""
         newest = max(self.written)
-        held = {one.name: version_of(one.sink.payload) for one in self.entries}
-        return {name: one for name, one in held.items() if one < newest}
+        held = {
+            entry.name: version_of(entry.sink.payload) for entry in self.entries
+        }
+        return {
+            name: version for name, version in held.items() if version < newest
+        }
 
     async def _announce(self) -> None:
         while True:
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -286,7 +286,7 @@
 
 
 class OwnAnswerTest(unittest.TestCase):
-    """An own answer, and one of the relay that never ends."""
+    """The entry's own answer, and a relay's answer that never ends."""
 
     def test_own_answer_comes_in_time(self) -> None:
         """It is cancelled for the relay's answer, and repeated in time."""
