--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""A range of the platform's store, followed through its troubles."""
+"""A range of the platform's store, followed through failures."""
 
 import asyncio
 import base64
@@ -24,11 +24,11 @@
 
 Step = Snapshot | Changes | StoreError
 Query = dict[str, list[str]]
-Asked = tuple[str, Query]
+Requested = tuple[str, Query]
 
 
 class ScriptedStore:
-    """Give one scripted answer after the other, then wait for ever."""
+    """Return one scripted answer after the other, then wait forever."""
 
     def __init__(self, *steps: Step) -> None:
         self.steps = list(steps)
@@ -59,7 +59,7 @@
 
 
 class RecordingSink:
-    """A sink that keeps what it is told."""
+    """A sink that records its calls."""
 
     def __init__(self) -> None:
         self.calls: list[object] = []
@@ -71,30 +71,32 @@
         self.calls.extend(changes)
 
     def mark_unreachable(self) -> None:
-        self.calls.append('away')
+        self.calls.append('unreachable')
 
 
 ONE = Record(b'1', 5)
 TWO = Change('k', Record(b'2', 6))
 
 
-class FollowingTest(unittest.IsolatedAsyncioTestCase):
-    """Read once, then wait; begin again where history is lost."""
+class RangeFollowerTest(unittest.IsolatedAsyncioTestCase):
+    """Read once, then wait; read again where history is lost."""
 
-    async def follow(self, *steps: Step) -> tuple[ScriptedStore, RecordingSink]:
-        """Play all steps."""
+    async def follow_steps(
+        self, *steps: Step
+    ) -> tuple[ScriptedStore, RecordingSink]:
+        """Follow a store through all steps."""
         store = ScriptedStore(*steps)
-        kept = RecordingSink()
-        follower = RangeFollower(store, '', kept, Random(1))
+        sink = RecordingSink()
+        follower = RangeFollower(store, '', sink, Random(1))
         follower.start()
         async with asyncio.timeout(60):
             await store.done.wait()
         await follower.close()
-        return store, kept
+        return store, sink
 
     async def test_reads_once_and_goes_on_from_there(self) -> None:
         """Each wait begins where the last one ended."""
-        store, kept = await self.follow(
+        store, sink = await self.follow_steps(
             Snapshot({'k': ONE}, 5),
             Changes((), 5),
             Changes((TWO,), 6),
@@ -103,41 +105,47 @@
             store.requests,
             [('read', 0), ('wait', 5), ('wait', 5), ('wait', 6)],
         )
-        self.assertEqual(kept.calls, [{'k': ONE}, TWO])
+        self.assertEqual(sink.calls, [{'k': ONE}, TWO])
 
     async def test_lost_history_is_read_again(self) -> None:
-        """What can't be told is read whole; the store was not away for that."""
-        store, kept = await self.follow(
+        """The whole range is read; the store doesn't count as unreachable."""
+        store, sink = await self.follow_steps(
             Snapshot({'k': ONE}, 5),
             HistoryLostError('store-history-lost'),
             Snapshot({}, 9),
         )
         self.assertEqual(
-            [one for one, _ in store.requests][2:], ['read', 'wait']
+            [call for call, _ in store.requests][2:], ['read', 'wait']
         )
-        self.assertEqual(kept.calls, [{'k': ONE}, {}])
+        self.assertEqual(sink.calls, [{'k': ONE}, {}])
 
-    async def test_store_that_is_away_comes_back(self) -> None:
-        """What was learned stays, and waiting goes on from there."""
-        store, kept = await self.follow(
+    async def test_an_unreachable_store_comes_back(self) -> None:
+        """The known records stay, and the next wait goes on from there."""
+        store, sink = await self.follow_steps(
             StoreError('store-unreachable'),
             Snapshot({'k': ONE}, 5),
             StoreError('store-unreachable'),
             Changes((TWO,), 6),
         )
-        self.assertEqual(kept.calls, ['away', {'k': ONE}, 'away', TWO])
+        self.assertEqual(
+            sink.calls, ['unreachable', {'k': ONE}, 'unreachable', TWO]
+        )
         self.assertEqual(store.requests[-2:], [('wait', 5), ('wait', 6)])
 
-    async def test_knows_when_the_store_was_heard(self) -> None:
-        """Good answers count, empty ones too; failures and lost history not."""
+    async def test_knows_when_the_view_was_confirmed(self) -> None:
+        """Answers count, also empty ones; failures and a lost history don't."""
         first = Snapshot({'k': ONE}, 5)
-        away = StoreError('store-unreachable')
+        failure = StoreError('store-unreachable')
         cases: tuple[tuple[str, tuple[Step, ...], int], ...] = (
-            ('never', (away,), 0),
-            ('read', (first, away, away), 1),
+            ('never', (failure,), 0),
+            ('read', (first, failure, failure), 1),
             ('a wait that ends empty', (first, Changes((), 5)), 2),
-            ('changes', (first, Changes((TWO,), 6), away), 2),
-            ('lost', (first, HistoryLostError('store-history-lost'), away), 1),
+            ('changes', (first, Changes((TWO,), 6), failure), 2),
+            (
+                'lost',
+                (first, HistoryLostError('store-history-lost'), failure),
+                1,
+            ),
         )
         loop = asyncio.get_running_loop()
         for name, steps, nth in cases:
@@ -152,21 +160,21 @@
                 if not nth:
                     self.assertEqual(follower.confirmed_at, -math.inf)
                     continue
-                # Each answer confirms what was so when it was asked for.
+                # Each answer confirms the state at the time of its request.
                 times = [began, *store.requested_at]
                 self.assertLess(times[nth - 1], follower.confirmed_at)
                 self.assertLessEqual(follower.confirmed_at, times[nth])
 
 
-def answer(status: int, said: Any = None) -> bytes:
-    """Give an answer of the store."""
-    body = json.dumps(said).encode()
+def answer(status: int, message: Any = None) -> bytes:
+    """Return an encoded answer of the store."""
+    body = json.dumps(message).encode()
     head = f'HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n\r\n'
     return head.encode() + body
 
 
 def row(key: str, text: str, revision: int) -> dict[str, Any]:
-    """Give a stored item."""
+    """Return an item as the store encodes it."""
     value = base64.b64encode(text.encode()).decode()
     return {'private_key': key, 'value': value, 'revision': revision}
 
@@ -184,17 +192,19 @@
         self.driver.close()
         await self.server.close()
 
-    def asked(self) -> list[Asked]:
-        """Give the paths and queries that were asked."""
-        targets = [one.split(b' ')[1].decode() for one in self.server.requests]
-        parts = [urlsplit(one) for one in targets]
+    def requested(self) -> list[Requested]:
+        """Return the paths and queries that were requested."""
+        targets = [
+            request.split(b' ')[1].decode() for request in self.server.requests
+        ]
+        urls = [urlsplit(target) for target in targets]
         return [
-            (one.path, parse_qs(one.query, keep_blank_values=True))
-            for one in parts
+            (url.path, parse_qs(url.query, keep_blank_values=True))
+            for url in urls
         ]
 
     async def test_pages_are_joined_at_the_first_revision(self) -> None:
-        """What changed between pages is waited for."""
+        """Changes between the pages come with the next wait."""
         self.server.answers = [
             answer(
                 200,
@@ -215,11 +225,11 @@
             dict(found.records),
             {'a': Record(b'x', 3), 'b': Record(b'y', 4)},
         )
-        second = self.asked()[1][1]
+        second = self.requested()[1][1]
         self.assertEqual(second['after_revision'], ['a'])
 
-    async def test_later_page_is_asked_for_again(self) -> None:
-        """A read goes on from the page that failed, and not for ever."""
+    async def test_a_later_page_is_requested_again(self) -> None:
+        """A read goes on from the page that failed, a few times at most."""
         first = answer(
             200,
             {'items': [row('a', 'x', 3)], 'has_more': True, 'timestamp': 9},
@@ -232,31 +242,31 @@
         cases = (
             ('cut once', [first, b'', last], ['', 'a', 'a'], 9),
             ('busy twice', [first, busy, busy, last], ['', 'a', 'a', 'a'], 9),
-            ('away', [first, *[busy] * 3], ['', 'a', 'a', 'a'], None),
-            ('away at once', [busy], [''], None),
-            ('forgot', [first, answer(410)], ['', 'a'], None),
+            ('unreachable', [first, *[busy] * 3], ['', 'a', 'a', 'a'], None),
+            ('unreachable at once', [busy], [''], None),
+            ('history lost', [first, answer(410)], ['', 'a'], None),
         )
         for name, answers, places, revision in cases:
             with self.subTest(name=name):
                 self.server.requests.clear()
                 self.server.answers = list(answers)
-                found = await self.revision_read()
-                queries = [query for _, query in self.asked()]
+                found = await self.read_revision()
+                queries = [query for _, query in self.requested()]
                 self.assertEqual(
-                    [one.get('after_revision', [''])[0] for one in queries],
+                    [query.get('after_revision', [''])[0] for query in queries],
                     places,
                 )
                 self.assertEqual(found, revision)
 
-    async def revision_read(self) -> int | None:
-        """Read a range, if that can be done."""
+    async def read_revision(self) -> int | None:
+        """Return the revision of a read, or None if it fails."""
         try:
             return (await self.store.read('op/')).revision
         except StoreError:
             return None
 
     async def test_changes(self) -> None:
-        """Written and deleted keys are told apart."""
+        """Written and deleted keys are distinguished."""
         self.server.answers = [
             answer(
                 200,
@@ -275,7 +285,7 @@
             found,
             Changes((Change('a', Record(b'x', 3)), gone), 4),
         )
-        path, query = self.asked()[0]
+        path, query = self.requested()[0]
         self.assertEqual(path, '/linnetwood/kv-watch')
         self.assertEqual(
             query,
@@ -286,8 +296,8 @@
             },
         )
 
-    async def test_troubles_are_coded(self) -> None:
-        """Each trouble is an error of the store's layer."""
+    async def test_errors_have_codes(self) -> None:
+        """Each failure is raised as a StoreError with a code."""
         cases: tuple[tuple[bytes, str], ...] = (
             (answer(410), 'store-history-lost'),
             (answer(503), 'store-unreachable'),
@@ -296,15 +306,15 @@
             (answer(200, []), 'store-bad-answer'),
             (answer(200, {'events': [{}], 'timestamp': 1}), 'store-bad-answer'),
         )
-        for said, code in cases:
-            with self.subTest(said=said[:20]):
-                self.server.answers = [said, said]
+        for reply, code in cases:
+            with self.subTest(reply=reply[:20]):
+                self.server.answers = [reply, reply]
                 with self.assertRaises(StoreError) as caught:
                     await self.store.wait('', 2, 1)
                 self.assertEqual(caught.exception.code, code)
 
-    async def test_calls_are_seen(self) -> None:
-        """What brought changes or failed is told, and a quiet wait is not."""
+    async def test_calls_are_logged(self) -> None:
+        """Calls with changes or failures are logged, an empty wait is not."""
         body = {'events': [row('op/config', 'xyz', 3)], 'timestamp': 3}
         quiet = {'events': [], 'timestamp': 3}
         self.server.answers = [answer(200, quiet), answer(200, body)]
@@ -314,7 +324,7 @@
             self.server.answers = [answer(503)]
             with self.assertRaises(StoreError):
                 await self.store.wait('', 3, 1)
-        first, second = (one.__dict__ for one in logged.records)
+        first, second = (logged_line.__dict__ for logged_line in logged.records)
         self.assertEqual(
             (first['call'], first['asked'], first['got']),
             ('wait', 2, 3),
@@ -327,8 +337,8 @@
         self.assertEqual((second['asked'], second['detail']), (3, 'status 503'))
         self.assertNotIn('got', second)
 
-    async def test_a_silent_store_is_seen(self) -> None:
-        """A call without an answer tells that no head came, and how long."""
+    async def test_a_silent_store_is_logged(self) -> None:
+        """The line of a call without an answer says so, with its duration."""
         self.server.answers = [b'']
         with self.assertLogs('linnetwood') as logged:
             with self.assertRaises(StoreError):
@@ -339,16 +349,16 @@
         self.assertEqual((seen['head_s'], seen['silent_s']), (-1, -1))
         self.assertGreater(seen['end_s'], 0)
 
-    async def test_a_range_that_is_none(self) -> None:
-        """A page without what it must hold ends no task."""
+    async def test_malformed_pages_are_refused(self) -> None:
+        """A page without a required field raises a StoreError."""
         cases: tuple[Any, ...] = (
             {},
             {'items': [{}], 'has_more': False, 'timestamp': 1},
             {'items': [row('a', 'x', 1)], 'has_more': False},
         )
-        for said in cases:
-            with self.subTest(said=said):
-                self.server.answers = [answer(200, said)]
+        for reply in cases:
+            with self.subTest(reply=reply):
+                self.server.answers = [answer(200, reply)]
                 with self.assertRaises(StoreError) as caught:
                     await self.store.read('')
                 self.assertEqual(caught.exception.code, 'store-bad-answer')
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -1,8 +1,8 @@
-"""Entries that start hear others that are there while they read the store.
+"""Entries that start subscribe to running ones while they read the store.
 
-Load pattern: most entries of a zone are killed and start again in one moment,
-and each reads a range of 700 KB over the link that its region shares; or all
-entries of all zones do. Virtual time, links at 6 Mbit/s.
+Load pattern: most entries of a zone are killed and start again at the same
+moment, and each reads a range of 700 KB over the link that its region shares;
+or all entries of all zones do. Virtual time, links at 6 Mbit/s.
 """
 
 import asyncio
@@ -14,54 +14,58 @@
     RegionEntry,
     Regions,
     configuration,
-    played,
+    run_scenario,
 )
 
-WHOLE = len(configuration(1, ROUTES)) * 4 // 3
-KEPT = 1
+WHOLE_BYTES = len(configuration(1, ROUTES)) * 4 // 3
+KEPT_ENTRIES = 1
 
 
-class StartsTest(unittest.TestCase):
-    """Restart entries, and see what crosses the link."""
+class StartupSyncTest(unittest.TestCase):
+    """Restart entries, and check what crosses the link."""
 
     def test_most_of_a_zone(self) -> None:
-        """One copy at most, and a second until all know the range."""
+        """Less than one copy crosses, and all know the range within 1 s."""
 
         async def act(regions: Regions) -> None:
             regions.links.sent.clear()
-            started = await restart(regions, regions.of('far')[KEPT:])
+            started = await restart(regions, regions.of('far')[KEPT_ENTRIES:])
             await asyncio.sleep(1)
             self.assertEqual(
-                [one.follower.revision for one in started], [1] * 4
+                [entry.follower.revision for entry in started], [1] * 4
             )
-            self.assertLess(regions.links.sent[ZONES[0], 'far'], WHOLE)
+            self.assertLess(regions.links.sent[ZONES[0], 'far'], WHOLE_BYTES)
 
-        played(act)
+        run_scenario(act)
 
-    def test_everybody(self) -> None:
-        """Three copies at most cross, as the first of each zone tell others."""
+    def test_all_entries(self) -> None:
+        """Fewer than 4 copies cross, as the relays of a zone serve others."""
 
         async def act(regions: Regions) -> None:
             regions.links.sent.clear()
             started = await restart(regions, list(regions.entries))
             await asyncio.sleep(4)
-            self.assertEqual({one.follower.revision for one in started}, {1})
-            self.assertLess(regions.links.sent[ZONES[0], 'far'], 4 * WHOLE)
+            self.assertEqual(
+                {entry.follower.revision for entry in started}, {1}
+            )
+            self.assertLess(
+                regions.links.sent[ZONES[0], 'far'], 4 * WHOLE_BYTES
+            )
 
-        played(act)
+        run_scenario(act)
 
 
 async def restart(
     regions: Regions,
     entries: list[RegionEntry],
 ) -> list[RegionEntry]:
-    """Kill entries and start them again, knowing nothing."""
+    """Kill entries and start them again without any state."""
     started = []
-    for one in entries:
-        await regions.kill(one)
-        started.append(regions.add(one.name))
-    for one in started:
-        one.start()
+    for entry in entries:
+        await regions.kill(entry)
+        started.append(regions.add(entry.name))
+    for entry in started:
+        entry.start()
     return started
 
 
--- a/tests/test_narrow_regions.py
+++ b/tests/test_narrow_regions.py
@@ -1,15 +1,13 @@
 """Configurations in three regions whose links to each other are narrow.
 
-What was seen: an entry of the region farthest from the store refused a route
-as unknown 3.1 s after the configuration that added it was accepted, and another
-served an older version as late; 3 s are allowed. How it came about: 1,760
-routes were added and small changes followed, over a link at a third of its
-rate. What caused it: the store gives a configuration only as a whole, 700 KB
-of base64 for one route that changed, and each zone fetched that for each change
-over the link that its region shares; an entry that the store turned away heard
-nobody but its own zone. What proved it: with the link at 6 Mbit/s the answers
-alone take 0.9 s a change, one after the other, while the zone beside the store
-has them at once.
+The store sends a configuration only as a whole: 700 KB of base64 for one
+changed route. Where each zone fetches that over the link that its region
+shares, each change takes 0.9 s at 6 Mbit/s, one after the other, while the zone
+beside the store has all at once. After 1,760 new routes and some small changes
+over a link at a third of its rate, an entry in the region farthest from the
+store refused a new route as unknown 3.1 s after the change was accepted, and
+another one served an older version as late; 3 s are allowed. An entry that the
+store refuses must also get changes from other zones than its own.
 
 Load pattern: small changes of a large configuration come faster than whole
 copies pass a link. Virtual time.
@@ -22,10 +20,10 @@
 from collections.abc import Awaitable, Callable, Iterable
 from random import Random
 
-from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
-from linnetwood.fleet.startupsync import StartupSync
 from linnetwood.fleet.rangerelayserver import RangeRelayServer
 from linnetwood.fleet.ranges import Record
+from linnetwood.fleet.remotezonesubscriber import RemoteZoneSubscriber
+from linnetwood.fleet.startupsync import StartupSync
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet, MemoryStream
 from linnetwood.wire.connections import Address
@@ -49,7 +47,7 @@
 
 
 def configuration(version: int, routes: int = ROUTES) -> bytes:
-    """Give a configuration in which each version changes one route."""
+    """Return a configuration in which each version changes one route."""
     changed = {version: 1}
     rows = [
         {
@@ -69,12 +67,12 @@
         }
         for number in range(routes)
     ]
-    said = {'version': version, 'routes': rows, 'services': []}
-    return json.dumps(said, separators=(',', ':')).encode()
+    stored = {'version': version, 'routes': rows, 'services': []}
+    return json.dumps(stored, separators=(',', ':')).encode()
 
 
 def version_of(payload: bytes) -> int:
-    """Give the version at the head of a configuration; 0 before the first."""
+    """Return the version at the head of a configuration; 0 if empty."""
     head = payload[: payload.find(b',')]
     return int(head.rpartition(b':')[2]) if head.startswith(b'{') else 0
 
@@ -87,7 +85,7 @@
         self._free_at: dict[tuple[str, str], float] = {}
 
     def through_at(self, source: str, target: str, size: int) -> float:
-        """Give when bytes that are sent now have passed."""
+        """Return when bytes that are sent now have passed the link."""
         now = asyncio.get_running_loop().time()
         if source == target:
             return now + size / WIDE_BYTES_PER_S
@@ -107,8 +105,8 @@
         self._zone = zone
         self._links = links
 
-    async def carry(self, size: int, heard: Callable[[], None]) -> None:
-        """Wait for the time that bytes take; values are told in base64."""
+    async def carry(self, size: int, on_bytes: Callable[[], None]) -> None:
+        """Wait for the time that bytes take; values are sent in base64."""
         loop = asyncio.get_running_loop()
         left = size * 4 // 3
         while left > 0:
@@ -117,7 +115,7 @@
             self.sent += piece
             until = self._links.through_at(ZONES[0], self._zone, piece)
             await asyncio.sleep(until - loop.time())
-            heard()
+            on_bytes()
         await asyncio.sleep(ROUND_TRIP_S)
 
 
@@ -130,7 +128,7 @@
         self._zones: dict[MemoryStream, tuple[str, str]] = {}
 
     async def dial_from(self, zone: str, address: Address) -> FrameStream:
-        """Connect, and note which link the connection takes."""
+        """Connect, and note which link the connection uses."""
         stream = await self.dial(address)
         assert isinstance(stream, MemoryStream)
         there = zone_of(address[0])
@@ -140,7 +138,7 @@
         return stream
 
     def carry(self, sender: MemoryStream, frame: Frame) -> None:
-        """Bring a frame when its bytes have passed the link."""
+        """Deliver a frame when its bytes have passed the link."""
         here, there = self._zones.get(sender, ('', ''))
         until = self._links.through_at(here, there, len(frame.payload))
         now = asyncio.get_running_loop().time()
@@ -162,12 +160,12 @@
 
 
 def zone_of(host: str) -> str:
-    """Give the zone of an entry by its address."""
+    """Return the zone of an entry by its address."""
     return ZONES[int(host.split('.')[1])]
 
 
 class RegionEntry(Entry):
-    """An entry that hears other zones, too."""
+    """An entry that subscribes to other zones, too."""
 
     def __init__(self, name: str, store: FarStore, net: RegionNet) -> None:
         super().__init__(name, store, net)
@@ -178,7 +176,7 @@
             PORT,
         )
         self.relay_server = RangeRelayServer(self.follower, self.selector)
-        self.on_request: Callable[[Entry], None] = nobody
+        self.on_request: Callable[[Entry], None] = name_none
         self.startup_sync = StartupSync(
             self.follower,
             self.selector,
@@ -198,22 +196,22 @@
         await super().close()
 
     async def _find_hosts(self) -> list[str]:
-        """Read a short list from the store."""
+        """Look up endpoint processes, as if with a short read of the store."""
         await asyncio.sleep(ROUND_TRIP_S)
         return ['an endpoint process']
 
     def _request_entries(self, hosts: list[str]) -> None:
-        """Be told of others, as by an endpoint process of the zone."""
+        """Learn of other entries, as from an endpoint process of the zone."""
         loop = asyncio.get_running_loop()
         loop.call_later(ROUND_TRIP_S, self.on_request, self)
 
 
-def nobody(one: Entry) -> None:
+def name_none(entry: Entry) -> None:
     """Name no other entry."""
 
 
 class Regions:
-    """All entries of three zones in as many regions."""
+    """All entries of three zones, each in a region of its own."""
 
     def __init__(self) -> None:
         self.links = Links()
@@ -229,13 +227,13 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Let everybody learn the range and hear of the others."""
+        """Let all entries learn the range and of each other."""
         self._tasks = [
             asyncio.create_task(self._announce()),
             asyncio.create_task(self._observe()),
         ]
-        for one in self.entries:
-            one.start()
+        for entry in self.entries:
+            entry.start()
         await asyncio.sleep(20)
         self.late_s.clear()
         self.links.sent.clear()
@@ -243,75 +241,79 @@
     async def close(self) -> None:
         for task in self._tasks:
             task.cancel()
-        for one in self.entries:
-            await one.close()
+        for entry in self.entries:
+            await entry.close()
         await self.net.close()
 
     def write(self, version: int, routes: int = ROUTES) -> None:
-        """Put a configuration into the store."""
+        """Write a configuration to the store."""
         self.written[version] = asyncio.get_running_loop().time()
         for store in self.stores.values():
             store.write(configuration(version, routes))
 
     def add(self, name: str) -> RegionEntry:
-        """Put an entry there; the caller starts it."""
-        one = RegionEntry(name, self.stores[zone_of(name)], self.net)
-        one.on_request = self._name_entries
-        self.entries.append(one)
-        return one
+        """Add an entry; the caller starts it."""
+        entry = RegionEntry(name, self.stores[zone_of(name)], self.net)
+        entry.on_request = self._name_entries
+        self.entries.append(entry)
+        return entry
 
     async def kill(self, entry: RegionEntry) -> None:
-        """End a process without a word."""
+        """End a process without notice."""
         self.entries.remove(entry)
         self.net.drop((entry.name, PORT))
         await entry.close()
 
     def of(self, zone: str) -> list[RegionEntry]:
-        """Give the entries of a zone."""
-        return [one for one in self.entries if zone_of(one.name) == zone]
+        """Return the entries of a zone."""
+        return [entry for entry in self.entries if zone_of(entry.name) == zone]
 
     def behind(self) -> dict[str, int]:
-        """Give what entries hold that lack the newest version."""
+        """Return the versions of entries that lack the newest one."""
         newest = max(self.written)
-        held = {one.name: version_of(one.sink.payload) for one in self.entries}
-        return {name: one for name, one in held.items() if one < newest}
+        held = {
+            entry.name: version_of(entry.sink.payload) for entry in self.entries
+        }
+        return {
+            name: version for name, version in held.items() if version < newest
+        }
 
     async def _announce(self) -> None:
         while True:
-            for one in self.entries:
-                self._name_entries(one)
+            for entry in self.entries:
+                self._name_entries(entry)
             await asyncio.sleep(1)
 
-    def _name_entries(self, one: Entry) -> None:
+    def _name_entries(self, entry: Entry) -> None:
         now = asyncio.get_running_loop().time()
         for zone in ZONES:
             names = [other.name for other in self.of(zone)]
-            if one.name in names:
-                one.selector.note_seen(names, now)
+            if entry.name in names:
+                entry.selector.note_seen(names, now)
             else:
-                # As an endpoint process that heard two of them.
-                one.selector.remote_zones.note_seen(zone, names[:2], now)
+                # As an endpoint process that knows two of them.
+                entry.selector.remote_zones.note_seen(zone, names[:2], now)
 
     async def _observe(self) -> None:
-        """Note for how long each version was lacking somewhere, at most."""
+        """Record for how long each entry lacked a version, at most."""
         while True:
             now = asyncio.get_running_loop().time()
-            for one in self.entries:
-                held = version_of(one.sink.payload)
-                lacking = [at for at in self._after(held) if at < now]
-                late_s = now - min(lacking, default=now)
-                known_s = self.late_s.get(one.name, 0)
-                self.late_s[one.name] = max(known_s, late_s)
+            for entry in self.entries:
+                held = version_of(entry.sink.payload)
+                missing = [at for at in self._written_after(held) if at < now]
+                late_s = now - min(missing, default=now)
+                known_s = self.late_s.get(entry.name, 0)
+                self.late_s[entry.name] = max(known_s, late_s)
             await asyncio.sleep(0.01)
 
-    def _after(self, held: int) -> Iterable[float]:
+    def _written_after(self, held: int) -> Iterable[float]:
         return (at for version, at in self.written.items() if version > held)
 
 
-def played(act: Callable[[Regions], Awaitable[None]]) -> None:
-    """Play something in virtual time, in regions that know the range."""
+def run_scenario(act: Callable[[Regions], Awaitable[None]]) -> None:
+    """Run act in virtual time, in regions whose entries know the range."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         regions = Regions()
         try:
             await regions.start()
@@ -319,14 +321,14 @@
         finally:
             await regions.close()
 
-    virtual.run(play())
+    virtual.run(scenario())
 
 
 class NarrowRegionsTest(unittest.TestCase):
-    """Change a large configuration, and see when all regions have it."""
+    """Change a large configuration, and check when all regions have it."""
 
     def test_small_changes_in_quick_succession(self) -> None:
-        """Each is in force everywhere within its bound."""
+        """Each change is in force everywhere within its bound."""
 
         async def act(regions: Regions) -> None:
             for version in range(2, 9):
@@ -336,12 +338,12 @@
             self.assertEqual(regions.behind(), {})
             self.assertLess(max(regions.late_s.values()), APPLY_S)
 
-        played(act)
+        run_scenario(act)
 
     def test_small_change_of_a_large_configuration(self) -> None:
         """It takes a third of the bound, with links at a third of their rate.
 
-        And little of the link, which calls share: a tenth of a whole copy.
+        It takes less than a tenth of a whole copy of the link that calls share.
         """
 
         async def act(regions: Regions) -> None:
@@ -352,38 +354,38 @@
             whole = len(configuration(2)) * 4 // 3
             self.assertLess(regions.links.sent[ZONES[0], ZONES[2]], whole / 10)
 
-        played(act)
+        run_scenario(act)
 
-    def test_a_zone_that_the_store_turns_away(self) -> None:
-        """It hears of a change from the others, within the bound."""
+    def test_a_zone_that_the_store_refuses(self) -> None:
+        """It gets a change from the other zones within the bound."""
 
         async def act(regions: Regions) -> None:
-            names = [one.name for one in regions.of('far')]
+            names = [entry.name for entry in regions.of('far')]
             regions.stores['far'].cut.update(names)
             await asyncio.sleep(2 * APPLY_S)
             regions.write(2)
             await asyncio.sleep(APPLY_S)
             self.assertEqual(regions.behind(), {})
 
-        played(act)
+        run_scenario(act)
 
-    def test_a_zone_whose_tellers_stand_still(self) -> None:
-        """Its entries hear other zones, in place of the store in a crowd."""
+    def test_a_zone_whose_relays_are_suspended(self) -> None:
+        """Its entries get changes from other zones, not all from the store."""
 
         async def act(regions: Regions) -> None:
             now = asyncio.get_running_loop().time()
-            leading = [
-                one for one in regions.of('far') if one.selector.is_relay
+            relays = [
+                entry for entry in regions.of('far') if entry.selector.is_relay
             ]
-            for one in leading:
-                regions.net.frozen_until[(one.name, PORT)] = now + 2 * APPLY_S
-                regions.stores['far'].cut.add(one.name)
+            for entry in relays:
+                regions.net.frozen_until[(entry.name, PORT)] = now + 2 * APPLY_S
+                regions.stores['far'].cut.add(entry.name)
             await asyncio.sleep(0.1)
             for version in range(2, 9):
                 regions.write(version)
                 await asyncio.sleep(0.4)
             await asyncio.sleep(1)
-            names = {one.name for one in leading}
+            names = {entry.name for entry in relays}
             self.assertLessEqual(regions.behind().keys(), names)
             late_s = [
                 late_s
@@ -392,7 +394,7 @@
             ]
             self.assertLess(max(late_s), APPLY_S)
 
-        played(act)
+        run_scenario(act)
 
 
 if __name__ == '__main__':
--- a/tests/test_proven_ages.py
+++ b/tests/test_proven_ages.py
@@ -1,16 +1,14 @@
-"""An age counts from what is proven, however late a word or an answer is.
-
-What was seen: an entry whose neighbours had ended and started again refused a
-key for good 2.6 s after it had been added. How it came about: a refusal is for
-good where the belief is young, and this one was older than it said. What may
-have caused it (that case itself was not brought about): the ages of a
-neighbour's words and of the store's answers were counted from their arrival, so
-what these had waited in a process that stood still, in a buffer or on a full
-link was left out. What proved the class: words that are read two seconds late
-make a belief of a tenth of a second; and an answer that was on its way for
-1.5 s confirms what was written meanwhile.
-
-Load pattern: words and answers come late; changes go on.
+"""An age counts from what is proven, however late an update or an answer is.
+
+Where ages count from the arrival of a relay's update or of the store's answer,
+they leave out the time that these waited in a suspended process, in a buffer or
+on a full link. An update that is read 2 s late then gives a view an age of
+0.1 s, and an answer that was on its way for 1.5 s confirms changes that were
+written meanwhile. An entry that takes such a view for young refuses unknown
+keys for good. This may be why one refused a key 2.6 s after it had been added,
+when the entry's neighbours had been restarted; that case was not reproduced.
+
+Load pattern: updates and answers arrive late; changes go on.
 Virtual time.
 """
 
@@ -21,8 +19,8 @@
 from linnetwood.core.waits import happened
 from linnetwood.fleet.freshness import bounds_for
 from linnetwood.fleet.rangefollower import RangeFollower
-from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.rangerelay import RangeSubscriber
+from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet, MemoryStream
 from linnetwood.wire.connections import Address
@@ -32,11 +30,11 @@
 
 APPLY_S = 2.0
 LATE_S = 1.5
-STANDS_S = 2.0
+SUSPENDED_S = 2.0
 
 
 class LateStore:
-    """Make up each answer at once, and deliver it late."""
+    """Prepare each answer at once, and deliver it late."""
 
     def __init__(self, late_s: float) -> None:
         self.late_s = late_s
@@ -45,17 +43,17 @@
 
     @property
     def revision(self) -> int:
-        """Give the revision that was written last."""
+        """Return the revision that was written last."""
         return 1 + len(self.writes)
 
     def write(self) -> None:
-        """Write the key anew."""
+        """Write the key again."""
         self.writes.append(asyncio.get_running_loop().time())
         self.written.set()
         self.written = asyncio.Event()
 
     async def read(self, prefix: str) -> Snapshot:
-        """Give the key."""
+        """Return the key."""
         found = Record(b'', self.revision)
         await asyncio.sleep(self.late_s)
         return Snapshot({'k': found}, found.revision)
@@ -71,15 +69,15 @@
         return Changes(changes, revision)
 
     def understated_s(self, follower: RangeFollower) -> float:
-        """Give by how much an entry's belief is younger than the truth."""
-        lacking = self.writes[max(0, follower.revision - 1) :]
+        """Return by how much an entry's view seems younger than it is."""
+        missing = self.writes[max(0, follower.revision - 1) :]
         return follower.confirmed_at - min(
-            lacking, default=follower.confirmed_at
+            missing, default=follower.confirmed_at
         )
 
 
-async def _lies_of(late_s: float, seed: int) -> float:
-    """Follow a store whose answers are late; give the worst lie."""
+async def _understated_by_late_answers_s(late_s: float, seed: int) -> float:
+    """Follow a store with late answers; return the worst understated age."""
     store = LateStore(late_s)
     rng = Random(seed)
     bounds = bounds_for(APPLY_S)
@@ -100,29 +98,31 @@
     """The store's answers are on their way for a while."""
 
     def test_no_age_is_younger_than_the_truth(self) -> None:
-        """Whatever was written before that age is known."""
+        """Everything that was written before that time is known."""
         for seed in range(4):
             for late_s in (0.005, 0.3, LATE_S):
                 with self.subTest(seed=seed, late_s=late_s):
-                    worst_s = virtual.run(_lies_of(late_s, seed))
+                    worst_s = virtual.run(
+                        _understated_by_late_answers_s(late_s, seed)
+                    )
                     self.assertLessEqual(worst_s, 0)
 
 
-class StillStream(MemoryStream):
-    """An end of a connection that is read late, once."""
+class SuspendedStream(MemoryStream):
+    """An end of a connection that is read late once."""
 
-    stands_until = float()
+    suspended_until = float()
 
     async def read_within(self, silent_s: float) -> Frame:
-        """Read what came meanwhile only when the process runs again."""
-        left_s = self.stands_until - asyncio.get_running_loop().time()
+        """Read what arrived meanwhile only when the process runs again."""
+        left_s = self.suspended_until - asyncio.get_running_loop().time()
         if left_s > 0:
             await asyncio.sleep(left_s)
         return await super().read_within(silent_s)
 
 
-class StillDialler(MemoryDialler):
-    """Dial, and keep hold of what was dialled."""
+class RecordingDialler(MemoryDialler):
+    """Dial, and record the connections."""
 
     def __init__(self, net: MemoryNet) -> None:
         super().__init__(net)
@@ -132,59 +132,60 @@
         """Connect to a process."""
         stream = await super().dial(address)
         assert isinstance(stream, MemoryStream)
-        stream.__class__ = StillStream
+        stream.__class__ = SuspendedStream
         self.streams.append(stream)
         return stream
 
 
-async def _lie_of_words_read_late() -> tuple[float, float]:
-    """Let a listener stand still while its teller ends; give how old it is.
+async def _ages_with_late_updates() -> tuple[float, float]:
+    """Suspend a subscriber while its relay ends; return two ages of its view.
 
-    That is what it believes, and since when it was told nothing.
+    They are the age that the subscriber counts, and the time since its relay
+    ended.
     """
     loop = asyncio.get_running_loop()
     net = MemoryNet(Random(1), 0, 0)
     store = zones.FarStore()
     names = ['10.0.0.1', '10.0.0.2']
     entries = [zones.Entry(name, store, net) for name in names]
-    for one in entries:
-        one.selector.note_seen(names, loop.time())
-    first = next(one for one in entries if one.selector.is_relay)
+    for entry in entries:
+        entry.selector.note_seen(names, loop.time())
+    first = next(entry for entry in entries if entry.selector.is_relay)
     if len(first.selector.relays) > 0:
-        first = next(one for one in entries if not one.selector.relays)
-    second = next(one for one in entries if one is not first)
-    dialler = StillDialler(net)
+        first = next(entry for entry in entries if not entry.selector.relays)
+    second = next(entry for entry in entries if entry is not first)
+    dialler = RecordingDialler(net)
     second.subscriber = RangeSubscriber(
         second.follower, second.selector, dialler, zones.PORT
     )
-    for one in entries:
-        one.start()
+    for entry in entries:
+        entry.start()
     await asyncio.sleep(2)
     store.cut.add(second.name)
-    stands_until = loop.time() + STANDS_S
+    suspended_until = loop.time() + SUSPENDED_S
     for stream in dialler.streams:
-        assert isinstance(stream, StillStream)
-        stream.stands_until = stands_until
+        assert isinstance(stream, SuspendedStream)
+        stream.suspended_until = suspended_until
     await asyncio.sleep(0.3)
     ended_at = loop.time()
     net.drop((first.name, zones.PORT))
     await first.close()
     store.write(b'2')
-    await asyncio.sleep(stands_until - loop.time() + 0.05)
-    believed_s = loop.time() - second.follower.confirmed_at
+    await asyncio.sleep(suspended_until - loop.time() + 0.05)
+    counted_s = loop.time() - second.follower.confirmed_at
     truth_s = loop.time() - ended_at
     await second.close()
     await net.close()
-    return believed_s, truth_s
+    return counted_s, truth_s
 
 
-class LateWordsTest(unittest.TestCase):
-    """Words of a neighbour are read late."""
+class LateUpdatesTest(unittest.TestCase):
+    """The updates of a relay are read late."""
 
-    def test_age_counts_from_when_the_word_was_said(self) -> None:
-        """Also where whoever said it has ended since."""
-        believed_s, truth_s = virtual.run(_lie_of_words_read_late())
-        self.assertGreaterEqual(believed_s, truth_s)
+    def test_age_counts_from_when_the_update_was_sent(self) -> None:
+        """Also where the relay that sent it has ended since."""
+        counted_s, truth_s = virtual.run(_ages_with_late_updates())
+        self.assertGreaterEqual(counted_s, truth_s)
 
 
 if __name__ == '__main__':
--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -1,4 +1,4 @@
-"""News of the store that entries of one availability zone pass on."""
+"""Changes of the store that entries of one availability zone relay."""
 
 import asyncio
 import functools
@@ -11,11 +11,11 @@
 from linnetwood.core.errors import StoreError
 from linnetwood.core.waits import happened
 from linnetwood.fleet.freshness import bounds_for
-from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.mirror import Mirror
-from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
-from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.rangefollower import RangeFollower
 from linnetwood.fleet.rangerelay import RangeSubscriber
+from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.relayselector import RelaySelector
 from linnetwood.lab import virtual
 from linnetwood.lab.memory_net import MemoryDialler, MemoryNet
@@ -45,15 +45,15 @@
         self._free_at = float()
 
     def write(self, payload: bytes, key: str = KEY) -> None:
-        """Write a key anew."""
+        """Write a key again."""
         self.revision += 1
         self.records[key] = Record(payload, self.revision)
         self.events.append(Change(key, self.records[key]))
         self.changed.set()
         self.changed = asyncio.Event()
 
-    async def carry(self, size: int, heard: Callable[[], None]) -> None:
-        """Wait for the time that bytes take on the link, a piece in turn."""
+    async def carry(self, size: int, on_bytes: Callable[[], None]) -> None:
+        """Wait for the time that bytes take on the link, piece by piece."""
         loop = asyncio.get_running_loop()
         while size > 0:
             piece = min(size, PIECE_BYTES)
@@ -62,16 +62,16 @@
             begin = max(self._free_at, loop.time())
             self._free_at = begin + piece / LINK_BYTES_PER_S
             await asyncio.sleep(self._free_at - loop.time())
-            heard()
+            on_bytes()
         await asyncio.sleep(ROUND_TRIP_S)
 
 
 def ignore_bytes() -> None:
-    """Tell nobody of a piece."""
+    """Ignore that a piece arrived."""
 
 
 class StoreLink:
-    """One entry's way to the store."""
+    """The link of one entry to the store."""
 
     def __init__(self, store: FarStore, name: str) -> None:
         self._store = store
@@ -86,20 +86,22 @@
         return found
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for what was written since."""
+        """Wait for changes since a revision."""
         await self._connect()
         store = self._store
         if store.revision <= after:
             await happened(store.changed, wait_s)
         await self._connect()
-        # Each write is told, also those that a later one replaced.
+        # All writes are sent, also those that a later one replaced.
         changes = tuple(
-            one
-            for one in store.events
-            if one.record is not None and one.record.revision > after
+            change
+            for change in store.events
+            if change.record is not None and change.record.revision > after
         )
         revision = store.revision
-        await store.carry(_size(one.record for one in changes), self.on_bytes)
+        await store.carry(
+            _size(change.record for change in changes), self.on_bytes
+        )
         return Changes(changes, revision)
 
     async def _connect(self) -> None:
@@ -110,11 +112,13 @@
 
 
 def _size(records: Iterable[Record | None]) -> int:
-    return 100 + sum(len(one.payload) for one in records if one is not None)
+    return 100 + sum(
+        len(record.payload) for record in records if record is not None
+    )
 
 
 class NewestSink:
-    """A sink that notes when each payload came."""
+    """A sink that records when the newest payload arrived."""
 
     def __init__(self) -> None:
         self.payload = b''
@@ -126,10 +130,10 @@
         self._take(found.records[KEY])
 
     def apply_changes(self, changes: tuple[Change, ...]) -> None:
-        for one in changes:
-            if one.record is not None:
-                self.ages.append(one.age_s)
-                self._take(one.record)
+        for change in changes:
+            if change.record is not None:
+                self.ages.append(change.age_s)
+                self._take(change.record)
 
     def mark_unreachable(self) -> None:
         self.outages += 1
@@ -140,21 +144,21 @@
 
 
 class Entry:
-    """One entry: it follows, tells its neighbours, and hears one of them."""
+    """One entry: it follows the store, relays, and subscribes to a relay."""
 
     def __init__(self, name: str, store: FarStore, net: MemoryNet) -> None:
         self.name = name
         self.sink = NewestSink()
         self.selector = RelaySelector(name, Random(1))
-        handle = StoreLink(store, name)
+        link = StoreLink(store, name)
         self.follower = RangeFollower(
-            handle,
+            link,
             '',
             self.sink,
             Random(2),
             bounds_for(APPLY_S),
         )
-        handle.on_bytes = self.follower.note_bytes
+        link.on_bytes = self.follower.note_bytes
         self.subscriber = RangeSubscriber(
             self.follower,
             self.selector,
@@ -165,7 +169,7 @@
         self._net = net
 
     async def accept(self, stream: FrameStream) -> None:
-        """Serve one listener."""
+        """Serve one subscriber."""
         await self.relay_server.serve(stream, await stream.read())
 
     def start(self) -> None:
@@ -179,7 +183,7 @@
 
 
 class Zone:
-    """All entries of an availability zone, told of each other."""
+    """All entries of an availability zone, which know each other."""
 
     def __init__(self) -> None:
         self.store = FarStore()
@@ -192,10 +196,10 @@
         self._announcing: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Let everybody learn the range and hear the first of them."""
+        """Let all entries learn the range and subscribe to the first relay."""
         self._announcing = asyncio.create_task(self._announce())
-        for one in self.entries:
-            one.start()
+        for entry in self.entries:
+            entry.start()
         await asyncio.sleep(5)
         self.store.sent = 0
         self.store.calls = 0
@@ -203,28 +207,32 @@
     async def close(self) -> None:
         if self._announcing is not None:
             self._announcing.cancel()
-        for one in self.entries:
-            await one.close()
+        for entry in self.entries:
+            await entry.close()
         await self.net.close()
 
     def first_relay(self) -> Entry:
-        """Give the entry that hears nobody."""
+        """Return the entry that has no relay."""
         now = asyncio.get_running_loop().time()
-        alone = [
-            one for one in self.entries if one.selector.choose(now) is None
+        unsubscribed = [
+            entry
+            for entry in self.entries
+            if entry.selector.choose(now) is None
         ]
-        return alone[0]
+        return unsubscribed[0]
 
     def subscriber_of_first(self) -> Entry:
-        """Give an entry that hears the first."""
+        """Return an entry that subscribes to the first relay."""
         now = asyncio.get_running_loop().time()
         name = self.first_relay().name
         return next(
-            one for one in self.entries if one.selector.choose(now) == name
+            entry
+            for entry in self.entries
+            if entry.selector.choose(now) == name
         )
 
     async def kill(self, entry: Entry) -> None:
-        """End a process without a word."""
+        """End a process without notice."""
         self._gone.add(entry.name)
         self.entries.remove(entry)
         self.net.drop((entry.name, PORT))
@@ -233,21 +241,21 @@
     async def _announce(self) -> None:
         while True:
             now = asyncio.get_running_loop().time()
-            names = [one.name for one in self.entries]
-            for one in self.entries:
-                one.selector.note_seen(names, now)
+            names = [entry.name for entry in self.entries]
+            for entry in self.entries:
+                entry.selector.note_seen(names, now)
             await asyncio.sleep(1)
 
 
 def payloads(zone: Zone) -> set[bytes]:
-    """Give what the entries hold."""
-    return {one.sink.payload for one in zone.entries}
+    """Return the payloads that the entries hold."""
+    return {entry.sink.payload for entry in zone.entries}
 
 
-def played(act: Callable[[Zone], Awaitable[None]]) -> None:
-    """Play something in virtual time, in a zone that has learned the range."""
+def run_scenario(act: Callable[[Zone], Awaitable[None]]) -> None:
+    """Run act in virtual time, in a zone whose entries know the range."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         zone = Zone()
         try:
             await zone.start()
@@ -255,11 +263,11 @@
         finally:
             await zone.close()
 
-    virtual.run(play())
+    virtual.run(scenario())
 
 
 class ZoneTest(unittest.TestCase):
-    """Change the range, and see when and at what cost all know it."""
+    """Change the range, and check when and at what cost all know it."""
 
     def test_one_copy_crosses(self) -> None:
         """A large change reaches all in time, for little more than one copy."""
@@ -270,13 +278,13 @@
                 await asyncio.sleep(0.3)
             await asyncio.sleep(APPLY_S - 0.3)
             self.assertEqual(payloads(zone), {b'4' * LARGE_BYTES})
-            # Three versions, and the second teller may have asked too.
+            # Three versions, and the second relay may have read one, too.
             self.assertLess(zone.store.sent, 4 * LARGE_BYTES)
 
-        played(act)
+        run_scenario(act)
 
-    def test_few_ask(self) -> None:
-        """While nothing changes one entry waits at the store, for all."""
+    def test_few_send_requests(self) -> None:
+        """While nothing changes, one entry waits at the store for all."""
 
         async def act(zone: Zone) -> None:
             await asyncio.sleep(10)
@@ -284,19 +292,19 @@
             # Each wait counts twice, when it begins and when it ends.
             self.assertLess(zone.store.calls, 2 * 10 / each_s + 4)
 
-        played(act)
+        run_scenario(act)
 
-    def test_a_teller_that_fails(self) -> None:
-        """All others know a change in time though their teller does not."""
+    def test_a_relay_that_fails(self) -> None:
+        """All others know a change in time though their relay does not."""
         for name in ('dead', 'frozen', 'cut off from the store'):
-            with self.subTest(teller=name):
-                played(functools.partial(self._fail, name))
+            with self.subTest(relay=name):
+                run_scenario(functools.partial(self._fail, name))
 
-    def test_all_turned_away(self) -> None:
-        """All catch up in time though the store was closed to all of them."""
+    def test_all_refused(self) -> None:
+        """All catch up in time though the store refused all of them."""
 
         async def act(zone: Zone) -> None:
-            zone.store.cut.update(one.name for one in zone.entries)
+            zone.store.cut.update(entry.name for entry in zone.entries)
             for mark in (b'2', b'3', b'4', b'5', b'6'):
                 await asyncio.sleep(1.8)
                 zone.store.write(mark * LARGE_BYTES)
@@ -304,31 +312,35 @@
             back_at = asyncio.get_running_loop().time()
             await asyncio.sleep(2 * APPLY_S)
             self.assertEqual(payloads(zone), {b'6' * LARGE_BYTES})
-            late_s = max(one.sink.applied_at for one in zone.entries) - back_at
+            late_s = (
+                max(entry.sink.applied_at for entry in zone.entries) - back_at
+            )
             self.assertLess(late_s, APPLY_S)
 
-        played(act)
+        run_scenario(act)
 
     def test_ages_come_along(self) -> None:
-        """Whoever hears of a change late knows since when it stands."""
+        """An entry that gets a change late knows the change's age."""
 
         async def act(zone: Zone) -> None:
-            late = next(
-                one for one in zone.entries if one is not zone.first_relay()
+            late_entry = next(
+                entry
+                for entry in zone.entries
+                if entry is not zone.first_relay()
             )
-            await late.close()
-            zone.store.cut.add(late.name)
+            await late_entry.close()
+            zone.store.cut.add(late_entry.name)
             zone.store.write(b'2')
             await asyncio.sleep(2)
-            late.start()
+            late_entry.start()
             await asyncio.sleep(0.5)
-            self.assertEqual(late.sink.payload, b'2')
-            self.assertAlmostEqual(late.sink.ages[-1], 2, delta=0.1)
+            self.assertEqual(late_entry.sink.payload, b'2')
+            self.assertAlmostEqual(late_entry.sink.ages[-1], 2, delta=0.1)
 
-        played(act)
+        run_scenario(act)
 
-    def test_word_of_outages(self) -> None:
-        """Whoever hears that the store was away doubts what goes missing."""
+    def test_outages_are_relayed(self) -> None:
+        """A subscriber learns that the store was unreachable for its relay."""
 
         async def act(zone: Zone) -> None:
             first = zone.first_relay()
@@ -340,7 +352,7 @@
             await asyncio.sleep(1)
             self.assertGreater(second.sink.outages, 0)
 
-        played(act)
+        run_scenario(act)
 
     async def _fail(self, name: str, zone: Zone) -> None:
         first = zone.first_relay()
@@ -355,11 +367,11 @@
         written_at = loop.time()
         zone.store.write(b'2')
         await asyncio.sleep(APPLY_S)
-        for one in zone.entries:
-            if one is not first:
-                self.assertEqual(one.sink.payload, b'2')
+        for entry in zone.entries:
+            if entry is not first:
+                self.assertEqual(entry.sink.payload, b'2')
                 self.assertLess(
-                    one.sink.applied_at - written_at, APPLY_S * 0.75
+                    entry.sink.applied_at - written_at, APPLY_S * 0.75
                 )
 
 
@@ -371,16 +383,16 @@
 
 
 class MirrorTest(unittest.TestCase):
-    """Whoever takes what a mirror says it lacks holds what the mirror holds."""
+    """A copy that applies a mirror's delta holds what the mirror holds."""
 
     @given(WRITES, strategies.integers(0, 30), strategies.integers(0, 30))
-    def test_lack(
+    def test_delta(
         self,
         writes: list[tuple[str, bool]],
         started: int,
         known: int,
     ) -> None:
-        """From any revision on, whether the mirror saw it or not."""
+        """This holds from any revision, whether the mirror had it or not."""
         started = min(started, len(writes))
         known = min(known, len(writes))
         mirror = Mirror()
@@ -408,26 +420,26 @@
     return held
 
 
-class TellersTest(unittest.TestCase):
-    """Choose whom to hear."""
+class RelaySelectorTest(unittest.TestCase):
+    """Choose relays."""
 
     def test_order(self) -> None:
-        """Nobody hears one that hears him, whoever knows whom."""
+        """No entry subscribes to itself by way of others, whoever it knows."""
         names = [f'10.0.0.{number}' for number in range(40)]
         rng = Random(5)
-        hears = {}
+        relay_of = {}
         for name in names:
             selector = RelaySelector(name, Random(1))
             selector.note_seen(rng.sample(names, 20), 0)
-            hears[name] = selector.choose(0)
+            relay_of[name] = selector.choose(0)
         for name in names:
             seen = [name]
-            while hears[seen[-1]] is not None:
-                seen.append(str(hears[seen[-1]]))
+            while relay_of[seen[-1]] is not None:
+                seen.append(str(relay_of[seen[-1]]))
                 self.assertLessEqual(len(seen), len(names))
 
-    def test_one_that_fails_rests(self) -> None:
-        """The second takes over, and then the store itself."""
+    def test_a_failed_relay_has_a_cooldown(self) -> None:
+        """The second relay takes over, and then the store itself."""
         names = [f'10.0.0.{number}' for number in range(5)]
         last = RelaySelector(names[0], Random(1))
         for name in names:
--- a/tests/test_relaying_quiet.py
+++ b/tests/test_relaying_quiet.py
@@ -1,4 +1,4 @@
-"""Entries in a quiet hour, and a store that falls silent for some."""
+"""Entries without changes, and a store that falls silent for some."""
 
 import asyncio
 import math
@@ -17,102 +17,105 @@
 from tests import test_relaying as zones
 
 BOUND_S = 3.0
-# What resident entries trust at most (programs/resident_entry.py).
-TRUSTED_S = 0.6 * BOUND_S
-BEAT_S = 0.2
+# The maximum age of a view that resident entries trust
+# (programs/resident_entry.py).
+MAX_AGE_S = 0.6 * BOUND_S
+HEARTBEAT_S = 0.2
 
 
-class Quiet:
+class QuietStore:
     """A store where nothing is written."""
 
     def __init__(self) -> None:
-        self.is_mute = False
+        self.is_silent = False
         self.is_failing = False
         self.requested_at: list[float] = []
 
     async def read(self, prefix: str) -> Snapshot:
-        """Give one key."""
+        """Return one key."""
         return Snapshot({'k': Record(b'1', 1)}, 1)
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait in vain, fail, or never answer."""
+        """Wait without changes, fail, or send no answer."""
         if self.is_failing:
             self.requested_at.append(asyncio.get_running_loop().time())
             raise StoreError('store-unreachable', '')
-        if self.is_mute:
-            # As the store's client: no first byte (wait_s and 2 s).
+        if self.is_silent:
+            # As the store's client: no first byte within wait_s and 2 s.
             await asyncio.sleep(wait_s + 2)
             raise StoreError('store-unreachable', 'silent')
         await asyncio.sleep(wait_s + 0.005)
         return Changes((), after)
 
 
-def new_follower(store: Quiet) -> RangeFollower:
-    """Give a follower within a bound of three seconds."""
+def new_follower(store: QuietStore) -> RangeFollower:
+    """Return a follower with a bound of 3 s."""
     return RangeFollower(store, '', mock.Mock(), Random(1), bounds_for(BOUND_S))
 
 
-def word(age_s: float, revision: int = 1) -> RelayedUpdate:
-    """Give a neighbour's word without news."""
+def update_without_changes(age_s: float, revision: int = 1) -> RelayedUpdate:
+    """Return a relay's update without changes."""
     return RelayedUpdate(revision, age_s, math.inf, math.inf, 0, False, ())
 
 
-class FollowingTest(unittest.TestCase):
-    """An entry in a quiet hour."""
+class RangeFollowerTest(unittest.TestCase):
+    """An entry while nothing changes."""
 
-    def test_listener_that_loses_its_teller_stays_within_trust(self) -> None:
-        """Nothing is wrong with the store: no belief gets old."""
+    def test_a_subscriber_that_loses_its_relay_stays_up_to_date(self) -> None:
+        """While the store answers, no view gets old."""
 
-        async def play() -> None:
-            follower = new_follower(Quiet())
+        async def scenario() -> None:
+            follower = new_follower(QuietStore())
             follower.start()
             loop = asyncio.get_running_loop()
             await asyncio.sleep(0.1)
             for _ in range(10):
-                follower.apply_update(word(0.1))
-                await asyncio.sleep(BEAT_S)
-            # The neighbour is gone from now on.
+                follower.apply_update(update_without_changes(0.1))
+                await asyncio.sleep(HEARTBEAT_S)
+            # The relay is gone from now on.
             oldest_s = 0.0
             until = loop.time() + 4
             while loop.time() < until:
                 oldest_s = max(oldest_s, loop.time() - follower.confirmed_at)
                 await asyncio.sleep(0.01)
             await follower.close()
-            self.assertLess(oldest_s, TRUSTED_S)
+            self.assertLess(oldest_s, MAX_AGE_S)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
-    def test_heard_at_never_goes_back(self) -> None:
-        """An answer that began long ago makes no belief older."""
+    def test_confirmed_at_never_goes_back(self) -> None:
+        """An answer that began long ago makes no view older."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
+            link = zones.StoreLink(store, 'me')
             follower = RangeFollower(
-                handle, '', zones.NewestSink(), Random(1), bounds_for(BOUND_S)
+                link, '', zones.NewestSink(), Random(1), bounds_for(BOUND_S)
             )
-            handle.on_bytes = follower.note_bytes
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 3000000)
-            # It is turned to another entry while its own answer comes.
+            # It uses a fallback relay while its own answer arrives.
             follower.uses_fallback_relay = True
-            furthest_s = 0.0
+            set_back_s = 0.0
             for _ in range(400):
-                follower.apply_update(word(0, follower.revision))
+                follower.apply_update(
+                    update_without_changes(0, follower.revision)
+                )
                 before = follower.confirmed_at
                 await asyncio.sleep(0.01)
-                furthest_s = max(furthest_s, before - follower.confirmed_at)
+                set_back_s = max(set_back_s, before - follower.confirmed_at)
             await follower.close()
-            self.assertEqual(furthest_s, 0)
+            self.assertEqual(set_back_s, 0)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
-    def test_failures_are_over_when_a_neighbour_tells(self) -> None:
-        """The first failure after a good hour is a first one."""
+    def test_failures_are_over_when_a_relay_sends_updates(self) -> None:
+        """The first failure after many good updates counts as a first one."""
 
-        async def play() -> None:
-            store = Quiet()
+        async def scenario() -> None:
+            store = QuietStore()
             follower = new_follower(store)
             follower.has_relays = True
             follower.start()
@@ -120,10 +123,10 @@
             store.is_failing = True
             await asyncio.sleep(12)
             store.is_failing = False
-            # From now on a neighbour tells, all the while.
+            # From now on a relay sends updates all the time.
             for _ in range(300):
-                follower.apply_update(word(0.1))
-                await asyncio.sleep(BEAT_S)
+                follower.apply_update(update_without_changes(0.1))
+                await asyncio.sleep(HEARTBEAT_S)
             store.is_failing = True
             store.requested_at.clear()
             await asyncio.sleep(6)
@@ -131,28 +134,28 @@
             first, second = store.requested_at[:2]
             self.assertLess(second - first, 0.4)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
-    def test_slow_answers_make_nobody_lost(self) -> None:
-        """What is old because its answer took long needs no other neighbour.
+    def test_slow_answers_isolate_nobody(self) -> None:
+        """A view that is old because its answer took long needs no other relay.
 
-        Whoever borrows leaves again as soon as the store has answered: both
-        at once would mean to connect and leave for ever.
+        An entry leaves a fallback relay as soon as the store has answered. If a
+        slow answer also made it isolated, it would connect and leave forever.
         """
 
-        async def play() -> None:
-            follower = new_follower(Quiet())
+        async def scenario() -> None:
+            follower = new_follower(QuietStore())
             loop = asyncio.get_running_loop()
             follower._note_answer(loop.time() - 2 * BOUND_S)
             self.assertFalse(follower.is_store_silent)
             self.assertFalse(follower.is_isolated)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_answers_that_never_end_are_trusted_once(self) -> None:
-        """A neighbour whose answers flow and break off stands for nothing."""
+        """Answers of a relay that break off don't replace the store."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
             sink = zones.NewestSink()
             follower = RangeFollower(
@@ -167,39 +170,39 @@
             store.write(b'2')
             loop = asyncio.get_running_loop()
             written_at = loop.time()
-            follower.apply_update(word(0))
+            follower.apply_update(update_without_changes(0))
             sink.applied_at = written_at
             while loop.time() < written_at + 2 * BOUND_S:
                 age_s = loop.time() - written_at + 0.5
                 flowing_s = age_s % 0.5
                 update = RelayedUpdate(1, age_s, 0, flowing_s, 0, False, ())
                 follower.apply_update(update)
-                await asyncio.sleep(BEAT_S)
+                await asyncio.sleep(HEARTBEAT_S)
             await follower.close()
             self.assertEqual(sink.payload, b'2')
             self.assertLess(sink.applied_at - written_at, BOUND_S)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
-    def test_mute_store_makes_lost(self) -> None:
-        """Who hears nothing for long may hear anybody, failed or not."""
+    def test_a_silent_store_isolates(self) -> None:
+        """An entry without any news may use any relay, failed or not."""
 
-        async def play() -> None:
-            store = Quiet()
+        async def scenario() -> None:
+            store = QuietStore()
             follower = new_follower(store)
             follower.start()
             await asyncio.sleep(0.95)
-            store.is_mute = True
-            await asyncio.sleep(1 + TRUSTED_S)
-            lost = follower.is_isolated
+            store.is_silent = True
+            await asyncio.sleep(1 + MAX_AGE_S)
+            is_isolated = follower.is_isolated
             await follower.close()
-            self.assertTrue(lost)
+            self.assertTrue(is_isolated)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
-class MuteHandle(zones.StoreLink):
-    """A way to a store that gives some entries no answer at all."""
+class SilentLink(zones.StoreLink):
+    """A link to a store that sends some entries no answer at all."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
         """Wait as the store's client does for a first byte."""
@@ -216,16 +219,16 @@
 
 
 class ZoneTest(unittest.TestCase):
-    """A zone with a store that is well."""
+    """A zone whose store works."""
 
-    def test_store_is_mute_to_the_first(self) -> None:
-        """Whoever hears nobody before it has a change in time, too."""
+    def test_store_is_silent_to_the_first_relay(self) -> None:
+        """An entry without a relay before it has a change in time, too."""
 
         late_s: list[float] = []
 
         async def act(zone: zones.Zone) -> None:
             first = zone.first_relay()
-            # Anywhere in a wait.
+            # At any moment of a wait.
             await asyncio.sleep(len(late_s) * 0.05)
             zone.store.cut.add(first.name)
             zone.store.write(b'2')
@@ -234,12 +237,12 @@
             late_s.append(first.sink.applied_at - written_at)
 
         for _ in range(20):
-            with mock.patch.object(zones, 'StoreLink', MuteHandle):
-                zones.played(act)
+            with mock.patch.object(zones, 'StoreLink', SilentLink):
+                zones.run_scenario(act)
         self.assertLess(max(late_s), zones.APPLY_S)
 
-    def test_no_belief_gets_old_when_the_first_ends(self) -> None:
-        """The store is well, so nobody need refuse by an old belief."""
+    def test_no_view_gets_old_when_the_first_relay_ends(self) -> None:
+        """While the store works, no entry need refuse by an old view."""
 
         async def act(zone: zones.Zone) -> None:
             loop = asyncio.get_running_loop()
@@ -250,21 +253,21 @@
                 oldest_s = max(
                     oldest_s,
                     *(
-                        loop.time() - one.follower.confirmed_at
-                        for one in zone.entries
+                        loop.time() - entry.follower.confirmed_at
+                        for entry in zone.entries
                     ),
                 )
                 await asyncio.sleep(0.01)
-            self.assertLess(oldest_s, TRUSTED_S)
+            self.assertLess(oldest_s, MAX_AGE_S)
 
-        zones.played(act)
+        zones.run_scenario(act)
 
 
 class FeedTest(unittest.TestCase):
-    """Since when a version stands that nobody saw come."""
+    """The age of a version that no entry saw being written."""
 
     def test_a_guess_is_not_made_younger_by_reading_anew(self) -> None:
-        """What stood there before did not come just now."""
+        """A record that was there before is not taken for a new one."""
         clock = mock.Mock()
         clock.now.return_value = 100.0
         wanted = WantedVersions(8)
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -1,4 +1,4 @@
-"""Where news of the store is lost, delayed or asked for too often."""
+"""Changes of the store that are lost, delayed or requested too often."""
 
 import asyncio
 import unittest
@@ -7,8 +7,8 @@
 
 from linnetwood.fleet.freshness import RelayedUpdate, bounds_for
 from linnetwood.fleet.rangefollower import RangeFollower
-from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.rangerelayserver import RangeRelayServer
+from linnetwood.fleet.ranges import Change, Changes, Record, Snapshot
 from linnetwood.fleet.relayreader import read_update
 from linnetwood.gen.wire.ttypes import RangeRequest
 from linnetwood.lab import virtual
@@ -21,13 +21,13 @@
 
 
 class CountingStore(zones.FarStore):
-    """A far store that counts the reads that begin."""
+    """A store that counts the reads that begin."""
 
     reads = 0
 
 
-class CountingHandle(zones.StoreLink):
-    """An entry's way to it."""
+class CountingLink(zones.StoreLink):
+    """The link of an entry to it."""
 
     async def read(self, prefix: str) -> Snapshot:
         """Read everything."""
@@ -35,17 +35,17 @@
         return await super().read(prefix)
 
 
-class SlowHandle(zones.StoreLink):
-    """A way to a store that takes half a second over each answer."""
+class SlowLink(zones.StoreLink):
+    """A link to a store that takes 0.5 s for each answer."""
 
     async def wait(self, prefix: str, after: int, wait_s: float) -> Changes:
-        """Wait for what was written since."""
+        """Wait for changes since a revision."""
         await asyncio.sleep(0.5)
         return await super().wait(prefix, after, wait_s)
 
 
 def new_follower() -> RangeFollower:
-    """Give one that follows a store of its own, and has not begun."""
+    """Return a follower of a store of its own that has not started."""
     return RangeFollower(
         zones.StoreLink(zones.FarStore(), 'me'),
         '',
@@ -60,7 +60,7 @@
     CountingStore.reads = 0
     with (
         mock.patch.object(zones, 'FarStore', CountingStore),
-        mock.patch.object(zones, 'StoreLink', CountingHandle),
+        mock.patch.object(zones, 'StoreLink', CountingLink),
     ):
         zone = zones.Zone()
         zone.store.records[KEY] = Record(b'1' * zones.LARGE_BYTES * 3, 1)
@@ -69,11 +69,11 @@
     return CountingStore.reads
 
 
-class ZoneTroubleTest(unittest.TestCase):
-    """Play a zone in virtual time."""
+class ZoneFailuresTest(unittest.TestCase):
+    """Run a zone in virtual time."""
 
-    def test_first_turned_away(self) -> None:
-        """Whoever the store turns away hears a neighbour that it serves."""
+    def test_first_relay_refused(self) -> None:
+        """An entry that the store refuses gets changes from another one."""
 
         async def act(zone: zones.Zone) -> None:
             first = zone.first_relay()
@@ -82,18 +82,18 @@
             await asyncio.sleep(zones.APPLY_S + 5)
             self.assertEqual(zones.payloads(zone), {b'2'})
 
-        zones.played(act)
+        zones.run_scenario(act)
 
     def test_all_start_at_once(self) -> None:
-        """Nobody takes a read back that it must begin again at once."""
+        """No entry cancels a read that it must repeat at once."""
         reads = virtual.run(_reads_of_a_start())
         self.assertLessEqual(reads, zones.ENTRIES)
 
     def test_slow_store(self) -> None:
-        """While a slow store answers the first, the others leave it alone."""
+        """While a slow store answers the relays, others send no requests."""
 
         with (
-            mock.patch.object(zones, 'StoreLink', SlowHandle),
+            mock.patch.object(zones, 'StoreLink', SlowLink),
             mock.patch.object(zones, 'APPLY_S', 2.0),
         ):
             calls: list[int] = []
@@ -103,12 +103,12 @@
                 await asyncio.sleep(10)
                 calls.append(zone.store.calls // 2)
 
-            zones.played(act)
-        # Two tellers, each of whose waits lasts 1.1 s.
+            zones.run_scenario(act)
+        # Two relays, whose waits last 1.1 s each.
         self.assertLess(calls[0], 2 * 10 / 1.1 + 4)
 
     def test_one_cut_off_makes_few_connections(self) -> None:
-        """A teller that hears nothing itself is not dialled all the time."""
+        """A relay that is out of touch itself is not dialled all the time."""
 
         async def act(zone: zones.Zone) -> None:
             zone.store.cut.add(zone.first_relay().name)
@@ -116,102 +116,97 @@
                 MemoryNet, 'dial', autospec=True, side_effect=MemoryNet.dial
             ) as dial:
                 await asyncio.sleep(10)
-            # One in two seconds for each.
+            # Each entry dials once in 2 s.
             self.assertLess(dial.call_count, 5 * zones.ENTRIES)
 
-        zones.played(act)
+        zones.run_scenario(act)
 
 
 class AgeTest(unittest.TestCase):
-    """Since when a follower knows what it knows."""
+    """The age of a follower's view."""
 
-    def test_age_counts_from_the_answers_begin(self) -> None:
-        """What was written while an answer came is not known with it."""
+    def test_age_counts_from_the_begin_of_an_answer(self) -> None:
+        """A change written while an answer arrives is not part of it."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
+            link = zones.StoreLink(store, 'me')
             follower = RangeFollower(
-                handle, '', zones.NewestSink(), Random(1), bounds_for(2)
+                link, '', zones.NewestSink(), Random(1), bounds_for(2)
             )
-            handle.on_bytes = follower.note_bytes
+            link.on_bytes = follower.note_bytes
             store.records[KEY] = Record(b'1' * 6000000, 1)
             follower.start()
             await asyncio.sleep(0.1)
-            # Written after the store made up its answer, which takes 4 s.
+            # Written after the store made its answer, which takes 4 s to come.
             store.write(b'2')
             await follower.synced.wait()
             age_s = asyncio.get_running_loop().time() - follower.confirmed_at
             await follower.close()
             self.assertGreater(age_s, 3.5)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_a_change_is_as_old_as_the_answer_that_brings_it(self) -> None:
         """It was written before the store began to answer.
 
-        Seen in a trial of this class: a change whose answer takes 4 s to come
-        is told with an age of 0. How it comes about: the link to the store is
-        narrow, or full of whole configurations. Cause: changes that the store
-        itself tells have the age of something that comes just now; only the
-        belief counts from the answer's begin. What that may do: a version's
-        bound counts from then, here and at whoever is told by this entry alone.
-        What proved it: the age that the sink is given, in virtual time.
+        On a link that is narrow or full of whole configurations, an answer may
+        take 4 s to arrive. If its changes had an age of 0, the bound of a
+        version would count from then, here and at subscribers of this entry
+        alone.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
-            newest = zones.NewestSink()
-            follower = RangeFollower(
-                handle, '', newest, Random(1), bounds_for(2)
-            )
-            handle.on_bytes = follower.note_bytes
+            link = zones.StoreLink(store, 'me')
+            sink = zones.NewestSink()
+            follower = RangeFollower(link, '', sink, Random(1), bounds_for(2))
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(0.5)
             store.write(b'2' * 4 * zones.LINK_BYTES_PER_S)
             await asyncio.sleep(5)
             await follower.close()
-            self.assertEqual(len(newest.ages), 1)
-            self.assertGreater(newest.ages[0], 3.5)
+            self.assertEqual(len(sink.ages), 1)
+            self.assertGreater(sink.ages[0], 3.5)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
-    def test_an_older_answer_makes_no_belief_older(self) -> None:
-        """What a neighbour confirmed meanwhile stays confirmed."""
+    def test_an_older_answer_makes_no_view_older(self) -> None:
+        """A confirmation by a relay meanwhile stays valid."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             follower.apply_update(RelayedUpdate(1, 0, 0, 0, 0, False, ()))
-            heard_at = follower.confirmed_at
-            follower._note_answer(heard_at - 1)
-            self.assertEqual(follower.confirmed_at, heard_at)
+            confirmed_at = follower.confirmed_at
+            follower._note_answer(confirmed_at - 1)
+            self.assertEqual(follower.confirmed_at, confirmed_at)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
-    def test_a_slow_read_is_not_begun_again(self) -> None:
-        """However long it took, what comes next is waited for."""
+    def test_a_slow_read_is_not_repeated(self) -> None:
+        """However long a read took, a wait follows it."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             CountingStore.reads = 0
             store = CountingStore()
             store.records[KEY] = Record(b'1' * zones.LINK_BYTES_PER_S * 8, 1)
-            handle = CountingHandle(store, 'me')
+            link = CountingLink(store, 'me')
             follower = RangeFollower(
-                handle, '', zones.NewestSink(), Random(1), bounds_for(2)
+                link, '', zones.NewestSink(), Random(1), bounds_for(2)
             )
-            handle.on_bytes = follower.note_bytes
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(30)
             await follower.close()
             self.assertEqual(CountingStore.reads, 1)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
     def test_ages_come_with_the_whole(self) -> None:
-        """A whole range that a neighbour tells brings its ages, too."""
+        """A whole range from a relay has the ages of its keys."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             update = RelayedUpdate(
                 9,
@@ -225,18 +220,18 @@
             follower.apply_update(update)
             now = asyncio.get_running_loop().time()
             delta = follower.mirror.delta_since(0, now)
-            self.assertEqual([one.age_s for one in delta.changes], [5])
+            self.assertEqual([change.age_s for change in delta.changes], [5])
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
-class WordTest(unittest.TestCase):
-    """What a follower makes of a neighbour's word."""
+class RelayedOutagesTest(unittest.TestCase):
+    """Outages that a relay reports."""
 
-    def test_outages_go_on(self) -> None:
-        """Whoever is told of an outage tells of one."""
+    def test_outages_are_passed_on(self) -> None:
+        """A follower counts the outages that its relay reports."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             before = follower.outages
             for outages in (0, 1):
@@ -245,31 +240,31 @@
                 )
             self.assertGreater(follower.outages, before)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
-class PackTest(unittest.TestCase):
-    """What a teller sends."""
+class RelayServerTest(unittest.TestCase):
+    """The updates that a relay sends."""
 
     def test_whole_is_whole(self) -> None:
-        """What was packed as changes is never sent as the whole range."""
+        """Changes that were packed are never sent as the whole range."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             follower = new_follower()
             mirror = follower.mirror
             whole = {KEY: Record(b'1', 1), 'servers/a': Record(b'a', 2)}
             mirror.replace_all(Snapshot(whole, 2), 0)
             new = Record(b'2', 3)
             mirror.apply_changes((Change(KEY, new),), 3, 0)
-            teller = RangeRelayServer(follower)
+            relay_server = RangeRelayServer(follower)
             net = MemoryNet(Random(1), 0, 0)
 
             async def accept(stream: FrameStream) -> None:
-                await teller.serve(stream, await stream.read())
+                await relay_server.serve(stream, await stream.read())
 
             net.accepting[('t', 1)] = accept
 
-            async def ask(after: int) -> RelayedUpdate:
+            async def request_after(after: int) -> RelayedUpdate:
                 stream = await MemoryDialler(net).dial(('t', 1))
                 request = encode(RangeRequest(after=after))
                 await stream.write(FrameKind.RANGE_REQUEST, request)
@@ -277,37 +272,37 @@
                 stream.close()
                 return update
 
-            before = await ask(2)
+            before = await request_after(2)
             self.assertFalse(before.whole)
-            # Read anew after an outage; nothing was written meanwhile.
+            # Read again after an outage; nothing was written meanwhile.
             mirror.replace_all(Snapshot({**whole, KEY: new}, 3), 1)
-            after = await ask(2)
+            after = await request_after(2)
             await net.close()
-            keys = {one.key for one in after.changes}
+            keys = {change.key for change in after.changes}
             if after.whole:
                 self.assertEqual(keys, set(whole))
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 class OwnAnswerTest(unittest.TestCase):
-    """An answer of one's own, and a neighbour's that never comes to an end."""
+    """The entry's own answer, and a relay's answer that never ends."""
 
-    def test_comes_in_time(self) -> None:
-        """It is given up for the neighbour's, and asked for again in time."""
+    def test_own_answer_comes_in_time(self) -> None:
+        """It is cancelled for the relay's answer, and repeated in time."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             store = zones.FarStore()
-            handle = zones.StoreLink(store, 'me')
+            link = zones.StoreLink(store, 'me')
             sink = zones.NewestSink()
-            follower = RangeFollower(handle, '', sink, Random(1), bounds_for(3))
-            handle.on_bytes = follower.note_bytes
+            follower = RangeFollower(link, '', sink, Random(1), bounds_for(3))
+            link.on_bytes = follower.note_bytes
             follower.start()
             await asyncio.sleep(3)
             store.write(b'2' * zones.LARGE_BYTES * 3)
             await asyncio.sleep(0.4)
             self.assertEqual(sink.payload, b'1')
-            # The neighbour knows no more, and its own answer begins.
+            # The relay knows no more, and its own answer begins.
             loop = asyncio.get_running_loop()
             written_at = loop.time()
             for nth in range(20):
@@ -323,7 +318,7 @@
             self.assertEqual(sink.payload[:1], b'2')
             self.assertLess(late_s, zones.APPLY_S)
 
-        virtual.run(play())
+        virtual.run(scenario())
 
 
 if __name__ == '__main__':
