--- a/src/linnetwood/calls/admission.py
+++ b/src/linnetwood/calls/admission.py
@@ -1,4 +1,4 @@
-"""Admit calls to each target's slots in fair order, or refuse them early."""
+"""Admit calls to each target's slots in fair order or refuse them early."""
 
 import asyncio
 import dataclasses
@@ -10,14 +10,14 @@
 from linnetwood.core.outcomes import Code, Ending, not_run
 from linnetwood.gen.schema.ttypes import Deployment
 
-# Timers of the loop may be a little early.
+# Timers of the event loop may fire slightly early.
 _MIN_PAUSE_S = 0.001
 Capacity = Callable[[str], int]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionRequest:
-    """Who asks for a slot of which target."""
+    """A request for a slot of a target."""
 
     target: str
     organisation: str
@@ -26,16 +26,16 @@
 
 
 class Admission:
-    """Hold one fair queue for each target; one task's state, no locks.
+    """Hold one fair queue for each target; used on the event loop, no locks.
 
-    The capacity of a target is this entry's part of the endpoints' slots, so
-    that shares hold over all entries without a call to any service.
+    The capacity of a target is this entry's fraction of the endpoints' slots,
+    so that shares hold across all entries without a call to any service.
     """
 
     def __init__(
         self, limits: QueueLimits, capacity: Capacity, clock: Clock
     ) -> None:
-        """Start without queues."""
+        """Start without queues and shares."""
         self.under_way = 0
         self._limits = limits
         self._capacity = capacity
@@ -46,7 +46,7 @@
         self._resume_scheduled: set[FairQueue] = set()
 
     def configured(self, deployment: Deployment) -> None:
-        """Take in the organisations' shares."""
+        """Apply the organisations' shares of a deployment."""
         self._shares.clear()
         self._shares.update(
             {
@@ -56,7 +56,7 @@
         )
 
     async def enter(self, request: AdmissionRequest) -> Ending | None:
-        """Wait for a slot; give an ending when there is none in time."""
+        """Wait for a slot; give an ending if none is free in time."""
         queue = self._queue(request.target)
         decision = queue.submit(
             request.organisation,
@@ -71,7 +71,7 @@
         return decision
 
     def leave(self, request: AdmissionRequest, took_s: float) -> None:
-        """Give the slot back and let in who is next."""
+        """Release the slot and admit the next waiting calls."""
         self.under_way -= 1
         queue = self._queue(request.target)
         queue.release(took_s)
@@ -127,7 +127,7 @@
         waiter: 'asyncio.Future[Ending | None]',
     ) -> Ending | None:
         if waiter.done():
-            # The turn came in the same step; it must not be lost.
+            # Decided in the same loop step; a granted slot must not leak.
             return waiter.result()
         self._waiters.pop(ticket, None)
         queue.withdraw(ticket)
--- a/src/linnetwood/calls/backend.py
+++ b/src/linnetwood/calls/backend.py
@@ -1,4 +1,4 @@
-"""The VM's one engine or plain service, as calls reach it."""
+"""HTTP clients for the one engine or plain service of the VM."""
 
 import dataclasses
 from collections.abc import Callable
@@ -35,27 +35,27 @@
 
 
 class BackendSink(Protocol):
-    """Take an answer piece by piece, without waiting."""
+    """Receive an answer piece by piece, without blocking."""
 
     def head(self, status: int, headers: list[str], version: str) -> None:
-        """Take the status, the headers and the version that answers."""
+        """Receive the status, the headers and the answering version."""
 
     def body(self, piece: bytes) -> None:
-        """Take some of the body; raise WireError when nobody reads it."""
+        """Receive a piece of the body; raises WireError if nobody reads it."""
 
 
 class Backend(Protocol):
     """Run calls on the engine or service of this VM."""
 
     async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
-        """Run one call and say how it ended."""
+        """Run one call and give its ending."""
 
     async def cancel(self, call_id: str) -> None:
-        """Stop a call that nobody waits for."""
+        """Stop a call whose caller has gone."""
 
 
 def end_to_end_headers(lines: list[str]) -> list[str]:
-    """Leave out the headers that belong to one connection only."""
+    """Drop the headers that concern a single connection."""
     return _without_headers(lines, _HOP_HEADERS)
 
 
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Exchange:
-    """Collect the head of one HTTP answer and pass the body on."""
+    """Collect the head of one HTTP answer and forward its body."""
 
     sink: BackendSink
     check: Callable[['_Exchange'], bool]
@@ -79,11 +79,11 @@
     is_wrong: bool = False
 
     def attach_header_callback(self, curl: pycurl.Curl) -> None:
-        """Take header lines from curl as they come."""
+        """Let curl pass each header line to this exchange."""
         curl.setopt(pycurl.HEADERFUNCTION, self.header)
 
     def header(self, line: bytes) -> None:
-        """Take a status or header line."""
+        """Receive a status or header line."""
         text = line.decode('latin1').rstrip('\r\n')
         if text.startswith('HTTP/') and not self.begun:
             self.status = int(text.split(' ')[1])
@@ -92,14 +92,14 @@
             self.lines.append(text)
 
     def body(self, piece: bytes) -> None:
-        """Pass a piece on, after the head."""
+        """Forward a piece of the body, after the head."""
         if not self.begun:
             self.open()
         if not self.is_wrong:
             self.sink.body(piece)
 
     def open(self) -> None:
-        """Give the head to the sink, if the answer is the right one."""
+        """Pass the head to the sink if the answer belongs to the call."""
         self.begun = True
         self.is_wrong = not self.check(self)
         if not self.is_wrong:
@@ -107,7 +107,7 @@
             self.sink.head(self.status, end_to_end_headers(self.lines), version)
 
     def header_value(self, name: str) -> str:
-        """Give a header's value."""
+        """Give a header's value, or an empty text."""
         for line in self.lines:
             key, _, text = line.partition(':')
             if key.lower() == name.lower():
@@ -116,22 +116,22 @@
 
 
 class _HttpBackend:
-    """Share the HTTP exchange between engines and services."""
+    """HTTP exchange that engines and services have in common."""
 
     def __init__(self, url: str, client: AsyncHTTPClient) -> None:
-        """Reach the back end at a URL."""
+        """Send requests to the back end at a URL."""
         self._url = url.rstrip('/')
         self._client = client
 
     async def cancel(self, call_id: str) -> None:
-        """Do nothing: a plain service finishes what it began."""
+        """Do nothing: a plain service finishes the calls it has begun."""
 
     async def _exchange(
         self,
         req: HTTPRequest,
         exchange: _Exchange,
     ) -> HTTPResponse:
-        # The client's own header callback may run after the body's.
+        # Tornado's own header callback may run after the one for the body.
         req.prepare_curl_callback = exchange.attach_header_callback
         req.streaming_callback = exchange.body
         req.follow_redirects = False
@@ -140,7 +140,7 @@
 
 
 class ServiceBackend(_HttpBackend):
-    """Pass a call to a plain service byte for byte."""
+    """Forward calls to a plain service byte for byte."""
 
     async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Run one call."""
@@ -167,7 +167,7 @@
     """Stream a generation from the model engine."""
 
     async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
-        """Run one call, if the engine serves the version it is pinned to."""
+        """Run one call if the engine serves the version it is pinned to."""
         exchange = _Exchange(
             sink,
             lambda found: _is_own_answer(found, start),
@@ -185,13 +185,17 @@
         reply = await self._exchange(req, exchange)
         if exchange.is_wrong:
             await self.cancel(start.call_id)
-            return unknown(Code.WRONG_ANSWER, 'the engine answered otherwise')
+            return unknown(
+                Code.WRONG_ANSWER, 'the answer has another call id or version'
+            )
         if reply.code in {_BUSY, _NOT_FOUND}:
-            return not_run(Code.BACKEND_BUSY, f'engine said {reply.code}')
+            return not_run(
+                Code.BACKEND_BUSY, f'engine answered with status {reply.code}'
+            )
         return _ending(reply, exchange)
 
     async def cancel(self, call_id: str) -> None:
-        """Tell the engine to stop a stream."""
+        """Ask the engine to stop a stream."""
         req = HTTPRequest(
             f'{self._url}/cancel',
             method='POST',
--- a/src/linnetwood/calls/callers.py
+++ b/src/linnetwood/calls/callers.py
@@ -1,4 +1,4 @@
-"""What callers reach over HTTP at an entry."""
+"""HTTP handlers that an entry offers to callers."""
 
 import asyncio
 import dataclasses
@@ -53,17 +53,17 @@
 
 
 class AdmissionGate(Protocol):
-    """Admit calls and count those under way."""
+    """Admit calls and count those in flight."""
 
     async def enter(self, request: AdmissionRequest) -> Ending | None:
-        """Wait for a slot; give an ending when there is none in time."""
+        """Wait for a slot; give an ending if none is free in time."""
 
     def leave(self, request: AdmissionRequest, took_s: float) -> None:
-        """Give the slot back."""
+        """Release the slot."""
 
 
 class HandlerContext:
-    """Hold what every handler needs."""
+    """The objects that all handlers share."""
 
     __slots__ = (
         'clock',
@@ -86,7 +86,7 @@
         timeout_s: float,
         traces: Tracer,
     ) -> None:
-        """Begin with nothing deployed."""
+        """Start with an empty deployment."""
         self.dispatcher = dispatcher
         self.routes = routes
         self.gate = gate
@@ -102,19 +102,19 @@
         self.context = context
 
     def data_received(self, chunk: bytes) -> None:
-        """Take no streamed bodies."""
+        """Ignore streamed bodies, which are not enabled."""
 
     def compute_etag(self) -> None:
-        """Add nothing to what the back end said."""
+        """Add no ETag to the back end's headers."""
 
     def set_default_headers(self) -> None:
-        """Leave out the server's own headers."""
+        """Drop tornado's own headers."""
         self.clear_header('Server')
         self.clear_header('Content-Type')
         self.clear_header('Date')
 
     def end_unanswered(self, ending: Ending) -> None:
-        """Tell the caller at once how a call without an answer ended."""
+        """Write the outcome of a call that has no answer."""
         outcome = 'not-run' if ending.outcome == Outcome.NOT_RUN else 'unknown'
         fallback = (
             _UNAVAILABLE_STATUS if outcome == 'not-run' else _BAD_GATEWAY_STATUS
@@ -132,7 +132,7 @@
 
 
 class _AnswerWriter:
-    """Write an endpoint's answer to the caller as it comes."""
+    """Write an endpoint's answer to the caller piece by piece."""
 
     def __init__(self, handler: '_CallHandler') -> None:
         self.begun = False
@@ -140,7 +140,7 @@
         self._handler = handler
 
     async def head(self, head: Head, key: str) -> None:
-        """Write status and headers."""
+        """Write the status and the headers."""
         self.begun = True
         handler = self._handler
         handler.note_first_byte()
@@ -154,36 +154,36 @@
             handler.set_header(VERSION_HEADER, head.version)
 
     async def body(self, piece: bytes) -> None:
-        """Write a piece and wait until the caller's socket took it."""
+        """Write a piece and wait until the caller's socket accepts it."""
         handler = self._handler
         if handler.headers_written:
             connection = handler.request.connection
-            taken = cast(HTTPConnection, connection).write(piece)
+            written = cast(HTTPConnection, connection).write(piece)
         else:
             handler.write(piece)
-            taken = handler.flush()
-        if taken.done():
-            # A write to a caller that went away has failed by now.
-            taken.result()
+            written = handler.flush()
+        if written.done():
+            # If the caller has gone, the write has failed already.
+            written.result()
         else:
-            await taken
+            await written
 
 
 class _CallHandler(_BaseHandler):
-    """Run one call and write how it ended."""
+    """Run one call and write its answer or its outcome."""
 
     def initialize(self, context: HandlerContext) -> None:
-        """Share the desk; nothing is under way yet."""
+        """Keep the shared context; no call is running yet."""
         super().initialize(context)
         self._running_call: asyncio.Future[Ending] | None = None
 
     def on_connection_close(self) -> None:
-        """Stop the work that nobody waits for."""
+        """Cancel the call when its caller disconnects."""
         if self._running_call is not None:
             self._running_call.cancel()
 
     async def run_call(self, call: Call) -> None:
-        """Admit, dispatch and finish."""
+        """Admit, dispatch and finish the call."""
         context = self.context
         admission_request = AdmissionRequest(
             call.target,
@@ -213,12 +213,12 @@
         self.finish_call(ending, answer)
 
     def finish_call(self, ending: Ending, answer: _AnswerWriter) -> None:
-        """Finish a whole answer, or say why there is none."""
+        """Finish a complete answer, or write why there is none."""
         self._count(ending)
         if ending.outcome == Outcome.ANSWERED:
             self.finish()
         elif answer.begun and self.headers_written:
-            # The caller must see that the answer is not whole.
+            # The caller must notice that the answer is incomplete.
             log(Event.CALL_CUT, code=ending.code)
             self.request.connection.stream.close()  # type: ignore[union-attr]
         else:
@@ -227,16 +227,16 @@
 
     @property
     def headers_written(self) -> bool:
-        """Tell whether the caller has seen the status."""
+        """Tell whether the status was sent to the caller."""
         return self._headers_written
 
     def note_first_byte(self) -> None:
-        """Note how long the caller waited for the head of its answer."""
+        """Record how long the caller waited for the head of its answer."""
         waited_ms = self.request.request_time() * _MILLISECONDS
         self.context.metrics.timing(Metric.FIRST_BYTE_MS, waited_ms)
 
     def deadline(self) -> float:
-        """Give the caller's deadline, within the entry's own limit."""
+        """Give the caller's deadline, at most the entry's own limit."""
         requested = self.request.headers.get(DEADLINE_HEADER, '')
         limit_s = self.context.timeout_s
         if requested.isdecimal():
@@ -253,7 +253,7 @@
 
 
 class CompletionHandler(_CallHandler):
-    """Stream a generation."""
+    """Stream the answer of a model engine."""
 
     async def post(self) -> None:
         """Answer POST /v1/completions."""
@@ -277,7 +277,7 @@
 
 
 class ServiceHandler(_CallHandler):
-    """Pass a call to a plain service."""
+    """Forward a call to a plain service."""
 
     async def handle(self, name: str) -> None:
         """Answer any method under /services/NAME/."""
@@ -340,10 +340,10 @@
 
 
 class HealthHandler(RequestHandler):
-    """Tell the balancer whether to send calls here."""
+    """Tell the load balancer whether to send calls here."""
 
     def initialize(self, ready: 'Readiness') -> None:
-        """Share the entry's state."""
+        """Keep what tells whether the entry is ready."""
         self.ready = ready
 
     def get(self) -> None:
@@ -354,18 +354,18 @@
         self.finish({'ready': not reason, 'reason': reason})
 
     def data_received(self, chunk: bytes) -> None:
-        """Take no streamed bodies."""
+        """Ignore streamed bodies, which are not enabled."""
 
 
 class Readiness(Protocol):
-    """Say why calls should not come here."""
+    """Tell why the entry should get no calls."""
 
     def reason(self) -> str:
-        """Give the reason, or nothing when ready."""
+        """Give the reason, or an empty text if the entry is ready."""
 
 
 def application(context: HandlerContext, ready: Readiness) -> Application:
-    """Give the callers' side as a tornado application."""
+    """Build the tornado application that serves callers."""
     shared = {'context': context}
     return Application(
         [
@@ -378,7 +378,7 @@
 
 
 def read_completion(body: bytes) -> dict[str, Any]:
-    """Check a completion request, or raise CallError."""
+    """Parse a completion request; raises CallError if it is malformed."""
     try:
         req = json.loads(body)
     except ValueError as exc:
@@ -406,12 +406,12 @@
 
 
 def parse_priority(text: str) -> int:
-    """Read a priority from 0, the lowest, to 9; anything else counts as 0."""
+    """Parse a priority from 0, the lowest, to 9; other texts count as 0."""
     return min(MAX_PRIORITY, int(text)) if text.isdecimal() else 0
 
 
 def service_want(name: str, key: str) -> EndpointQuery:
-    """Give what a call to a service needs; a key names the one endpoint."""
+    """Give the target of a service call; a key names a single endpoint."""
     if not key:
         return EndpointQuery(name)
     parsed = keys.parse(key)
@@ -419,7 +419,7 @@
 
 
 def find_service(deployment: Deployment, name: str) -> Service | None:
-    """Give the declaration of a service."""
+    """Give the declaration of a service, or None."""
     for service in deployment.services:
         if service.name == name:
             return service
@@ -427,16 +427,16 @@
 
 
 def runs_once(service: Service, path: str) -> bool:
-    """Tell whether calls to the path run at most once."""
+    """Tell whether calls to the path may run at most once."""
     return any(path.startswith(prefix) for prefix in service.once_paths)
 
 
 def service_path(req: HTTPServerRequest, name: str) -> str:
-    """Give the path and query that the service itself should see."""
+    """Give the path and query as the service sees them."""
     return (req.uri or '')[len(f'/services/{name}') :] or '/'
 
 
 def header_lines(req: HTTPServerRequest) -> Iterable[str]:
-    """Yield the request's headers as lines, repeated ones too."""
+    """Yield the request's headers as lines, including repeated ones."""
     for name, text in req.headers.get_all():
         yield f'{name}: {text}'
--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -1,18 +1,20 @@
-"""Which calls endpoints crashed under, and which are refused; no I/O or clock.
-
-Load pattern: a call that ends each endpoint that begins to run it comes again
-twice a second, at any entry and with an id of its own each time. With it end
-the 8 to 18 calls beside it (counted), each of which looks as guilty the first
-time. So a call is refused once two lives have ended under calls like it, with
-no answer to any of them since: a call that ends every endpoint is never
-answered, and one that was only near by nearly always is, elsewhere, before a
-second endpoint ends under it. With two attempts a call, two lives are those of
-its first coming: a limit of three would cost one endpoint more each time, and
-save only calls that were near by twice.
-
-Where many endpoints end together, calls that everybody sends lose an answer at
-each of them at once. Those that were answered before are tried again, one at a
-time, as soon as ends come no longer: else none of them could clear the others.
+"""Record which calls endpoints crashed under and refuse them; no I/O or clock.
+
+Load pattern: a call that crashes every endpoint that starts to run it is sent
+twice a second, to any entry, with a new call id each time. Each crash also
+loses the 8 to 18 other calls running on that endpoint, and after one crash
+none of them can be told apart from the cause. A call is therefore refused once
+two incarnations have crashed under calls with its fingerprint and none of
+these calls has been answered since. A fatal call is never answered; a
+bystander is nearly always answered by another endpoint before a second one
+crashes under it. With two attempts per call, the first fatal call alone
+crashes two endpoints. A limit of three would cost one more endpoint each time
+and spare only calls that were bystanders twice.
+
+When many endpoints crash at once, calls that many callers send lose an answer
+on each of them. Those that were answered before the crashes are retried, one
+at a time, as soon as no new crashes come in: if all were refused, none of them
+could be answered and clear the others.
 """
 
 import hashlib
@@ -20,37 +22,41 @@
 from collections.abc import Iterable, Iterator
 from typing import NamedTuple
 
-# So many lives may end under calls that are alike before these are refused.
+# Calls with one fingerprint are refused after this many crashes under them.
 REFUSE_AFTER_CRASHES = 2
-# From the last end on; then one such call is tried, alone. It costs at most
-# one endpoint in so long, and twice as long each time that it ends one.
+# Refusal time after the last crash; then a single call is let through as a
+# trial. A fatal call costs at most one endpoint in this time, and the time
+# doubles with each further crash, up to the maximum.
 REFUSAL_FIRST_S = 60.0
 REFUSAL_MAX_S = 600.0
-# Calls like one that was answered before are tried this soon. If ends go on for
-# longer than the second, the answer says nothing of what such calls do now.
+# Refusal time for calls that were answered before the crashes. It applies only
+# while all further crashes come within ANSWER_TRUST_S of the one that started
+# the refusal: after that an earlier answer no longer shows that the calls are
+# harmless.
 REFUSAL_ANSWERED_S = 1.0
 ANSWER_TRUST_S = 1.5
-# So long nobody else tries meanwhile: callers wait no longer for an answer.
+# Others are refused for this long during a trial: no caller waits longer for an
+# answer.
 _TRIAL_S = 10.0
-# An end that nobody confirmed for so long counts no more; the store forgets it
-# by then, too.
+# Records that were not confirmed for this long are dropped; the store's lease
+# on them expires within the same time.
 CRASH_RECORD_TTL_S = 600.0
-# As many as 250 endpoints leave that crash with 16 calls each; the oldest go.
+# Suspects of 250 crashed endpoints with 16 calls each; the oldest are dropped.
 _MAX_SUSPECTS = 4096
 _INCARNATION_BYTES = 8
-# What everybody sends is answered at least once in so many calls.
+# Calls that many callers send are answered at least once in this many calls.
 _MAX_ANSWERED = 1024
 
 
 class CrashRecord(NamedTuple):
-    """One life of an endpoint that ended under calls that are alike."""
+    """An endpoint incarnation that crashed under calls of one fingerprint."""
 
     fingerprint: str
     incarnation_id: str
 
 
 def incarnation_digest(incarnation_id: str) -> str:
-    """Give a short name of a life, whatever the length of its own."""
+    """Give a digest of fixed length for an incarnation id of any length."""
     digest = hashlib.blake2b(
         incarnation_id.encode(), digest_size=_INCARNATION_BYTES
     )
@@ -58,14 +64,14 @@
 
 
 class _Suspect:
-    """Lives that ended under calls that are alike, and when."""
+    """Incarnations that crashed under calls of one fingerprint, and when."""
 
     __slots__ = ('answered_before', 'crashed_at', 'shared', 'trial_until')
 
     def __init__(self, *, answered_before: bool) -> None:
         self.answered_before = answered_before
         self.crashed_at: dict[str, float] = {}
-        # Those of them that all entries can read.
+        # Those that stand in the store, where all entries read them.
         self.shared: set[str] = set()
         self.trial_until = float()
 
@@ -86,32 +92,32 @@
 
 
 class CrashHistory:
-    """Hold the calls under which endpoints ended, as far as is known here."""
+    """Hold the calls under which endpoints crashed, as known to this entry."""
 
     __slots__ = ('_answered', '_suspects')
 
     def __init__(self) -> None:
-        """Suspect nobody."""
+        """Start without suspects."""
         self._suspects: dict[str, _Suspect] = {}
-        # The newest stand last.
+        # In order of the last update, the newest last.
         self._answered: dict[str, None] = {}
 
     def crash_count(self, fingerprint: str) -> int:
-        """Give how many lives ended under calls like this."""
+        """Give how many incarnations crashed under calls like this."""
         suspect = self._suspects.get(fingerprint)
         return len(suspect.crashed_at) if suspect else 0
 
     def refused_for_s(self, fingerprint: str, now: float) -> float:
-        """Give for how long a call is refused; with 0 it may go."""
+        """Give the seconds for which a call is refused; 0 if it is allowed."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.is_refused:
             return 0
         return max(0, max(suspect.refused_until, suspect.trial_until) - now)
 
     def note_admitted(self, fingerprint: str, now: float) -> None:
-        """Note that a call goes; after a refusal it is tried alone.
+        """Note that a call was admitted; after a refusal it is a trial.
 
-        Others like it are refused until it is over.
+        Others like it are refused until the trial ends.
         """
         suspect = self._suspects.get(fingerprint)
         if suspect is not None and suspect.is_refused:
@@ -124,17 +130,17 @@
     def add(
         self, record: CrashRecord, at: float, *, shared: bool = False
     ) -> bool:
-        """Take in an end; tell whether it is news."""
+        """Add a record; tell whether it is new."""
         suspect = self._suspects.pop(record.fingerprint, None) or _Suspect(
             answered_before=record.fingerprint in self._answered,
         )
-        # The newest stand last.
+        # In order of the last update, the newest last.
         self._suspects[record.fingerprint] = suspect
         while len(self._suspects) > _MAX_SUSPECTS:
             self._suspects.pop(next(iter(self._suspects)))
         is_new = record.incarnation_id not in suspect.crashed_at
         if is_new:
-            # What was tried has ended, here or at another entry.
+            # The trial crashed an endpoint, here or at another entry.
             suspect.trial_until = float()
         known_at = suspect.crashed_at.get(record.incarnation_id, at)
         suspect.crashed_at[record.incarnation_id] = min(known_at, at)
@@ -143,7 +149,7 @@
         return is_new
 
     def remove(self, record: CrashRecord) -> None:
-        """Take in that an end counts no more for all entries."""
+        """Remove a record that was withdrawn for all entries."""
         suspect = self._suspects.get(record.fingerprint)
         if suspect is not None:
             suspect.crashed_at.pop(record.incarnation_id, None)
@@ -153,7 +159,7 @@
     def replace_shared(
         self, records: Iterable[tuple[CrashRecord, float]]
     ) -> None:
-        """Take in all ends that entries share now, and since when."""
+        """Replace all shared records by these, each with its crash time."""
         fresh = dict(records)
         for record in tuple(self._all_shared()):
             if record not in fresh:
@@ -162,7 +168,7 @@
             self.add(record, at, shared=True)
 
     def note_answered(self, fingerprint: str) -> list[CrashRecord]:
-        """Clear calls that are alike; give the ends that were held."""
+        """Clear calls of this fingerprint; give the records that were held."""
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = None
         if len(self._answered) > _MAX_ANSWERED:
@@ -176,7 +182,7 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Forget what ended too long ago."""
+        """Drop records of crashes that are too old."""
         for fingerprint, suspect in tuple(self._suspects.items()):
             suspect.crashed_at = {
                 incarnation_id: at
--- a/src/linnetwood/calls/crashsharing.py
+++ b/src/linnetwood/calls/crashsharing.py
@@ -1,8 +1,8 @@
 """Share with all entries which calls endpoints crashed under.
 
-What is shared is a key of the platform's store for each end: it reaches all
-entries as a configuration does, also those of other zones and those that start,
-with its age, and goes by itself. Only a crash writes one.
+Each record is one key in the platform's store. Like a configuration it reaches
+all entries with its age, including those in other zones and those that start
+later, and it expires by itself. Only a crash writes one.
 """
 
 import asyncio
@@ -18,49 +18,55 @@
 from linnetwood.core.owner import Owner
 from linnetwood.core.waits import happened
 
-# All suspects of one crash are written with one call.
+# Records of one crash are gathered for this long and written with one call.
 _BATCH_S = 0.1
-# What clears a call that is not refused is in no hurry.
+# Removals are not urgent: they clear calls that are not refused.
 _REMOVAL_DELAY_S = 1.0
 _BACKOFF_FIRST_S = 0.1
-# Entries take turns where several endpoints end at once, so that their calls
-# stay under half of what a store takes whose own limit is 400 a second.
+# When several endpoints crash at once, entries spread their writes so that all
+# of them together use less than half the limit of a store that accepts 400
+# calls a second.
 _MAX_CALLS_PER_S = 150
-# All are to know within 3 s; half a second is left for the call and the news.
+# All entries must know of a crash within 3 s; this leaves 0.5 s for the call to
+# the store and for the notification.
 _MAX_SPREAD_S = 2.5
-# Whoever lost calls of one endpoint alone has gone before.
+# Share of the spread that is kept free for entries that lost calls of a single
+# endpoint: these write first.
 _MIN_SPREAD_SHARE = 0.2
-# So many entries may take the same end away before they see that one did.
+# Number of entries that may remove the same record before they see that another
+# entry already did.
 _CONCURRENT_REMOVALS = 8
-# What a call to the store and the news of it take.
+# Time that a call to the store and the notification of it take.
 _WATCH_DELAY_S = 0.2
-# A write without an answer may be carried out some seconds later.
+# The store may carry out an unanswered write some seconds later.
 _LATE_WRITE_S = 10.0
-# A store that is back is told within this; all are to know within 3 s.
+# A store that is reachable again gets the records within this time; all entries
+# must know of a crash within 3 s.
 _BACKOFF_MAX_S = 0.8
 _BACKOFF_MIN_SHARE = 0.5
-# Of 32 crashes with 16 calls each; beyond that the oldest are not told.
+# Records of 32 crashes with 16 calls each; beyond that the oldest are dropped.
 _MAX_PENDING = 512
 
 
 class CrashStore(Protocol):
-    """Where all entries read the ends that are shared."""
+    """The store in which entries share crash records."""
 
     @property
     def max_records(self) -> int:
-        """Give how many ends one call may carry."""
+        """Give the maximum number of records per write."""
 
     async def write(
         self, added: Sequence[CrashRecord], removed: Sequence[CrashRecord]
     ) -> None:
-        """Write some ends and take away others, all or none.
+        """Add some records and remove others, all or none.
 
-        Raises StoreError where that is not certain; it may be done again.
+        Raises StoreError if the outcome is uncertain; the write may be
+        repeated.
         """
 
 
 class CrashPublisher(Owner):
-    """Own the calls that tell; one at a time."""
+    """Write crash records to the store, one call at a time."""
 
     def __init__(
         self,
@@ -68,20 +74,20 @@
         rng: Random,
         entries: Callable[[], int],
     ) -> None:
-        """Have nothing to tell; so many entries share the store."""
+        """Start with nothing to write; entries() share the store's limit."""
         super().__init__()
         self._entries = entries
         self._store = store
         self._rng = rng
         self._to_add: deque[CrashRecord] = deque(maxlen=_MAX_PENDING)
         self._to_remove: deque[CrashRecord] = deque(maxlen=_MAX_PENDING)
-        # Those that a write without an answer so far may have brought.
+        # Records that an unanswered write may have added.
         self._uncertain: set[CrashRecord] = set()
         self._wake = asyncio.Event()
         self._add_pending = asyncio.Event()
 
     def share(self, record: CrashRecord) -> None:
-        """Tell of an end."""
+        """Share a record with all entries."""
         if record in self._to_remove:
             self._to_remove.remove(record)
         self._to_add.append(record)
@@ -89,16 +95,16 @@
         self._wake.set()
 
     def withdraw(self, record: CrashRecord) -> None:
-        """Tell that an end counts no more."""
+        """Withdraw a record from all entries."""
         if record in self._to_add:
             self._to_add.remove(record)
             if record not in self._uncertain:
-                # Nobody can have heard of it.
+                # It was never written.
                 return
         self._queue_removal(record)
 
     def note_removed(self, record: CrashRecord) -> None:
-        """Note that the store holds an end no more."""
+        """Note that the store no longer holds a record."""
         if record in self._to_remove and record not in self._uncertain:
             self._to_remove.remove(record)
 
@@ -119,15 +125,16 @@
                 self._wake.clear()
 
     async def _wait_to_write(self) -> None:
-        """Wait for more to tell with the same call, and for this one's turn.
+        """Gather records for one call, after a random delay.
 
-        One endpoint's calls come from few entries; where several end at once,
-        or all entries see the same answer, these take turns by chance.
+        Calls of one endpoint come from few entries. When several endpoints
+        crash at once, or all entries see the same answer, a random delay
+        spreads the writes of the entries.
         """
         if not self._to_add:
             spread_s = self._entries() * _WATCH_DELAY_S / _CONCURRENT_REMOVALS
             delay_s = _REMOVAL_DELAY_S + self._rng.uniform(0, spread_s)
-            # What is to be shared does not wait for that.
+            # A record to add ends this wait.
             await happened(self._add_pending, delay_s)
         self._add_pending.clear()
         if self._to_add:
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -1,8 +1,8 @@
-"""Tell a crash from a cut, a reset or a drain, and note who was there.
+"""Detect endpoint crashes and record the calls that were running.
 
-An answer that breaks off has many causes; a call is suspected only where the
-endpoint ended. What costs an innocent call its next try is a crash taken for
-what it isn't; what costs endpoints is one that is missed.
+An answer can break off for many reasons: a cut connection, a reset, a drain.
+A call is suspected only if its endpoint crashed. Taking another cause for a
+crash costs a harmless call its retry; missing a crash costs more endpoints.
 """
 
 import asyncio
@@ -18,17 +18,17 @@
 from linnetwood.core.clock import Clock
 from linnetwood.core.events import Event, log
 
-# A process that ended refuses connections at once; one that is ending may take
-# a last one, so it is looked at twice.
+# A process that has exited refuses connections at once, but one that is exiting
+# may still accept a last one, so it is probed twice.
 _PROBE_PAUSES_S = (0, 0.25)
-# Whoever says nothing, as a VM without power, may come back as another life;
-# one that ended is listed again after some seconds.
+# An endpoint that does not respond, like a VM without power, may come back as a
+# new incarnation; a crashed endpoint is listed again after some seconds.
 _RESTART_CHECKS = 16
 _RESTART_CHECK_S = 0.5
-# A call that ends an endpoint does so in its first passes; one whose events
-# came for so long is not the cause.
+# A fatal call crashes its endpoint within its first forward passes; a call that
+# has streamed events for this long is not the cause.
 _HEALTHY_STREAM_S = 1.0
-# An endpoint has no more calls of one entry under way.
+# An endpoint runs at most this many calls of one entry at a time.
 _MAX_SUSPECTS = 64
 _MAX_LOGGED = 8
 
@@ -36,22 +36,22 @@
 
 
 class CrashObserver(Protocol):
-    """What a dispatcher tells of the calls that it runs."""
+    """Receive from a dispatcher how its calls ended."""
 
     def note_lost(
         self, fingerprint: str, endpoint: Endpoint, streamed_s: float
     ) -> None:
-        """Note that an answer broke off; events had come for so long."""
+        """Note an answer that broke off after streaming for some seconds."""
 
     def note_answered(self, fingerprint: str) -> None:
-        """Note that a call was answered: it ends no endpoint."""
+        """Note that a call was answered and so crashes no endpoint."""
 
     def may_retry(self, fingerprint: str) -> bool:
         """Tell whether a call may be sent to a second endpoint."""
 
 
 class NoCrashWatch:
-    """Suspect nobody."""
+    """Suspect no call."""
 
     def note_lost(
         self, fingerprint: str, endpoint: Endpoint, streamed_s: float
@@ -62,22 +62,22 @@
         """Note nothing."""
 
     def may_retry(self, fingerprint: str) -> bool:
-        """Let every call go."""
+        """Allow every retry."""
         return True
 
 
 class CrashReports(Protocol):
-    """Tell other entries."""
+    """Report crash records to other entries."""
 
     def share(self, record: CrashRecord) -> None:
-        """Tell of an end."""
+        """Share a record with all entries."""
 
     def withdraw(self, record: CrashRecord) -> None:
-        """Tell that an end counts no more."""
+        """Withdraw a record from all entries."""
 
 
 class CrashWatch:
-    """Look at each endpoint whose answers broke off, once for all of them."""
+    """Check each endpoint whose answers broke off, once for all its calls."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         is_refused: ConnectionProbe,
         reports: CrashReports,
     ) -> None:
-        """Look at nobody yet."""
+        """Start without checks."""
         self._crashes = crashes
         self._directory = directory
         self._clock = clock
@@ -97,7 +97,7 @@
         self._checks: dict[str, asyncio.Task[None]] = {}
 
     async def close(self) -> None:
-        """Look at nobody any more."""
+        """Cancel all checks."""
         tasks = list(self._checks.values())
         for task in tasks:
             task.cancel()
@@ -106,12 +106,12 @@
     def note_lost(
         self, fingerprint: str, endpoint: Endpoint, streamed_s: float
     ) -> None:
-        """Suspect a call, until it is known why its answer broke off."""
+        """Suspect a call until it is known why its answer broke off."""
         if not fingerprint or streamed_s >= _HEALTHY_STREAM_S:
             return
         listed = self._directory.get(endpoint.endpoint_id)
         if listed is None or not listed.ready:
-            # Its end was told beforehand.
+            # It announced that it would stop.
             return
         suspects = self._suspects.setdefault(endpoint.incarnation_id, {})
         if len(suspects) < _MAX_SUSPECTS:
@@ -138,21 +138,22 @@
             why = await self._crash_evidence(endpoint)
             while why and self._suspects.get(endpoint.incarnation_id):
                 self._record_crash(endpoint, why)
-                # Other answers break off within milliseconds of the first.
+                # Other answers break off within milliseconds of the first one;
+                # their calls are recorded in the next round.
                 await asyncio.sleep(_RESTART_CHECK_S)
         finally:
             self._suspects.pop(endpoint.incarnation_id, None)
             self._checks.pop(endpoint.incarnation_id, None)
 
     async def _crash_evidence(self, endpoint: Endpoint) -> str:
-        """Give what shows that the life has ended, or nothing."""
+        """Give what shows that the endpoint crashed, or an empty text."""
         for pause_s in _PROBE_PAUSES_S:
             await asyncio.sleep(pause_s)
             if await self._is_refused(endpoint.host, endpoint.port):
                 return 'refused'
         for _ in range(_RESTART_CHECKS):
             if self._is_replaced(endpoint):
-                return 'another life'
+                return 'new incarnation'
             await asyncio.sleep(_RESTART_CHECK_S)
         return ''
 
--- a/src/linnetwood/calls/dispatch.py
+++ b/src/linnetwood/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""Run a call on an endpoint: one attempt after another, each ended truly."""
+"""Run a call in one or more attempts and tell for each whether it ran."""
 
 import asyncio
 import dataclasses
@@ -32,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One caller's request.
+    """A caller's request.
 
-    The deadline is one of the entry's clock. A call that runs at most
-    once carries a key, given by the caller or minted for this call alone.
+    The deadline is a time of the entry's clock. A call that runs at most once
+    carries a key, given by the caller or minted for this call alone.
     """
 
     call_id: str
@@ -53,17 +53,17 @@
 
 
 class AnswerSink(Protocol):
-    """Take a whole answer, as it comes, at the caller's own pace."""
+    """Receive an answer piece by piece, as fast as the caller reads it."""
 
     async def head(self, head: Head, key: str) -> None:
-        """Take the status and headers, and the key the call ran under."""
+        """Receive the status, the headers and the key the call ran under."""
 
     async def body(self, piece: bytes) -> None:
-        """Take some of the body."""
+        """Receive a piece of the body."""
 
 
 class _Attempt:
-    """Hold what one attempt has done so far."""
+    """Hold the progress of one attempt."""
 
     __slots__ = ('begun', 'key', 'sent', 'version')
 
@@ -75,7 +75,7 @@
 
 
 class Dispatcher:
-    """Run calls on endpoints."""
+    """Choose endpoints for calls and retry where that is safe."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         metrics: Metrics,
         probe: Callable[[Member], None] | None = None,
     ) -> None:
-        """Share one retry budget among all calls."""
+        """Start with one retry budget for all calls."""
         self.attempts = 0
         self._routes = routes
         self._pool = pool
@@ -95,7 +95,7 @@
         self._budget = RetryBudget()
 
     async def run(self, call: Call, sink: AnswerSink) -> Ending:
-        """Run a call and say how it ended."""
+        """Run a call and give its ending."""
         self._budget.earn()
         self._probe_load(call.query)
         tried: set[str] = set()
@@ -133,7 +133,7 @@
 
     def _no_endpoint_ending(self, call: Call) -> Ending:
         if call.key:
-            # An earlier attempt under this key may have run at its owner.
+            # An earlier attempt with this key may have run on its owner.
             return unknown(Code.KEY_OTHER_OWNER, call.key)
         if not self._routes.knows(call.query):
             return not_run(Code.UNKNOWN_TARGET, call.target)
@@ -157,7 +157,7 @@
         load.sent += 1
         address = (member.host, member.port)
         stream: FrameStream | None = None
-        ending = unknown(Code.CONNECTION_LOST, 'cut short')
+        ending = unknown(Code.CONNECTION_LOST, 'attempt was cut short')
         try:
             async with asyncio.timeout(call.deadline - self._clock.now()):
                 stream = await self._connect(address, call)
@@ -180,7 +180,8 @@
             idle_stream = self._pool.reuse(address)
             if idle_stream is not None:
                 return idle_stream
-        # A kept connection may have died unseen, and the call with it.
+        # An idle connection may be dead unnoticed; a call sent on it would be
+        # lost.
         return await self._pool.dial(address)
 
     def _release(
@@ -192,7 +193,7 @@
         if stream is None:
             return
         if ending.outcome == Outcome.UNKNOWN or ending.code == Code.LATE.value:
-            # What may still come in must never reach another call.
+            # Late frames of this call must never reach another call.
             stream.close()
         else:
             self._pool.keep(address, stream)
@@ -261,7 +262,7 @@
     def _caller_ending(self, call: Call, ending: Ending) -> Ending:
         is_minted_here = call.at_most_once and not call.key
         if is_minted_here and ending.code in _UNUSED_KEY_REFUSALS:
-            # Nobody else knew the key, so nothing ran under it.
+            # Nobody else knew the key, so no attempt ran with it.
             return Ending(Outcome.NOT_RUN, ending.code, ending.detail)
         if call.key and ending.outcome == Outcome.NOT_RUN:
             return self._ending_of_keyed_call(ending)
@@ -270,7 +271,7 @@
     def _ending_of_keyed_call(self, ending: Ending) -> Ending:
         if ending.code in _OWNER_DECIDED_CODES:
             return ending
-        # This attempt did not run, but an earlier one under the key may have.
+        # This attempt did not run, but an earlier one with the key may have.
         return Ending(Outcome.UNKNOWN, ending.code, ending.detail)
 
 
@@ -280,9 +281,9 @@
 
 
 def conclude(endings: list[Ending]) -> Ending:
-    """Give the ending of a call from those of its attempts, in order.
+    """Combine the endings of a call's attempts, in order, into one.
 
-    A call is not run only if every one of its attempts was not run.
+    The call counts as not run only if none of its attempts ran.
     """
     last = endings[-1]
     if last.outcome != Outcome.NOT_RUN:
@@ -294,7 +295,7 @@
 
 
 def mint_key(member: Member, nonce: str) -> str:
-    """Give a key that only this incarnation of an endpoint can run."""
+    """Mint a key that only this incarnation of an endpoint can run."""
     return keys.Key(
         member.vm,
         member.incarnation,
--- a/src/linnetwood/calls/fairness.py
+++ b/src/linnetwood/calls/fairness.py
@@ -1,10 +1,10 @@
-"""Decide which waiting call goes next; no I/O, clock or chance inside.
+"""Decide which waiting call is admitted next; no I/O, clock or randomness.
 
 Start-time fair queueing (Goyal, Vin and Cheng, 1996) over organisations by
-their shares; within one organisation the higher priority, then the earlier
-deadline, goes first. Capacity that nobody else wants goes to whoever waits.
-What an organisation left of its share it may use up later, up to a few calls,
-since calls come at random and not at the pace of the share.
+their shares. Within an organisation the higher priority goes first, then the
+earlier deadline. Capacity that no other organisation wants goes to those that
+wait. An organisation may use unused parts of its share later, up to a few
+calls, because calls arrive at random and not at the rate of the share.
 """
 
 import dataclasses
@@ -16,7 +16,7 @@
 from linnetwood.core.outcomes import Code, Ending, not_run
 
 _DEFAULT_SHARE = 1
-# How many calls of its share an organisation may catch up with at once.
+# Unused share that an organisation may use later at once, in calls.
 _CATCH_UP_CALLS = 8
 _NEW_DURATION_WEIGHT = 0.1
 _INITIAL_MEAN_S = 0.1
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueLimits:
-    """What a queue may hold, and for how long."""
+    """Maximum length of a queue and maximum wait in it."""
 
     length: int = 256
     wait_s: float = 2.0
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Ticket:
-    """One waiting call, in the order within its organisation."""
+    """A waiting call; tickets sort in the order within an organisation."""
 
     rank: int
     deadline: float
@@ -43,7 +43,7 @@
 
 
 class FairQueue:
-    """Share one pool of slots among organisations."""
+    """Divide one pool of slots among organisations."""
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
         shares: Mapping[str, int],
         pacer: BorrowPacer | None = None,
     ) -> None:
-        """Start empty, with no slots known; lend slots at a pace, if any."""
+        """Start empty, with capacity for one call; pace borrowing if given."""
         self.under_way = 0
         self.capacity = 1
-        # When to look again: a slot is free then that was not lent before.
+        # When to call pop_admitted again: a free slot may be borrowed then.
         self.resume_at: float | None = None
         self._pacer = pacer
         self._limits = limits
@@ -67,7 +67,7 @@
         self._last_number = 0
 
     def __len__(self) -> int:
-        """Give how many wait."""
+        """Give the number of waiting calls."""
         return self._length
 
     def submit(
@@ -77,10 +77,8 @@
         deadline: float,
         now: float,
     ) -> Ticket | Ending | None:
-        """Admit at once (None), queue (a ticket) or refuse (an ending)."""
-        if self.under_way < self.capacity and self._may_skip_queue(
-            organisation
-        ):
+        """Admit a call at once (None), queue it (a ticket) or refuse it."""
+        if self.under_way < self.capacity and self._may_pass(organisation):
             if self._length:
                 self._charge(organisation)
             else:
@@ -99,14 +97,14 @@
         return ticket
 
     def release(self, took_s: float) -> None:
-        """Note that a call ended and how long it held its slot."""
+        """Release the slot of a call that ended and note its duration."""
         self.under_way -= 1
         self._mean_s += _NEW_DURATION_WEIGHT * (took_s - self._mean_s)
 
     def pop_admitted(
         self, now: float
     ) -> Iterator[tuple[Ticket, Ending | None]]:
-        """Yield whom to let in now, and whom to refuse as too late."""
+        """Yield the calls to admit now, and those to refuse as too late."""
         self.resume_at = None
         while self._length and self.under_way < self.capacity:
             organisation = self._next_organisation()
@@ -123,7 +121,7 @@
             yield ticket, None
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Take a ticket out; tell whether it was still waiting."""
+        """Remove a ticket; tell whether it was still waiting."""
         waiting = self._waiting.get(ticket.organisation, [])
         if ticket not in waiting:
             return False
@@ -148,7 +146,7 @@
             return not_run(Code.QUEUE_FULL, after_ms=after_ms)
         left_s = deadline - now - self._mean_s
         if wait_s > min(left_s, self._limits.wait_s):
-            return not_run(Code.LATE, 'would come too late', after_ms)
+            return not_run(Code.LATE, 'would be served too late', after_ms)
         return None
 
     def _fair_rate_per_s(self, organisation: str) -> float:
@@ -174,8 +172,8 @@
             key=self._start_tag,
         )
 
-    def _may_skip_queue(self, organisation: str) -> bool:
-        """Tell whether a call need not wait for those in the queue."""
+    def _may_pass(self, organisation: str) -> bool:
+        """Tell whether a call may pass those that wait."""
         if not self._length:
             return True
         return self._is_within_share(organisation) and not self._waiting.get(
@@ -183,15 +181,15 @@
         )
 
     def _is_within_share(self, organisation: str) -> bool:
-        """Tell whether it used no more than its share of late."""
+        """Tell whether it has recently used at most its share."""
         return (
             self._finish_tags.get(organisation, self._virtual_time)
             <= self._virtual_time
         )
 
     def _admissible_at(self, organisation: str) -> float:
-        """Give from when a free slot may go to an organisation."""
-        # Slots are kept apart only for others, whom the shares name.
+        """Give the time from which an organisation may take a free slot."""
+        # Borrowing is paced only for other organisations that have shares.
         is_alone = len(self._shares) < 2
         if (
             self._pacer is None
@@ -209,7 +207,7 @@
         self.under_way += 1
 
     def _start_tag(self, organisation: str) -> float:
-        # Who was never seen left nothing of its share.
+        # An organisation without earlier calls has no unused share.
         finish = self._finish_tags.get(organisation, self._virtual_time)
         return max(self._earliest_start(organisation), finish)
 
@@ -219,7 +217,7 @@
         self._finish_tags[organisation] = start + 1 / self._share(organisation)
 
     def _admit_uncharged(self, organisation: str) -> None:
-        """Charge nothing for a slot that nobody waits for."""
+        """Charge nothing for a slot that no other call waits for."""
         self._finish_tags.setdefault(
             organisation, self._earliest_start(organisation)
         )
--- a/src/linnetwood/calls/fingerprint.py
+++ b/src/linnetwood/calls/fingerprint.py
@@ -1,8 +1,8 @@
-"""Name what two calls have in common that differ in nothing but their ids."""
+"""Identify calls that differ only in their call ids."""
 
 import hashlib
 
-# So many bytes that no two calls of a fleet's life share a name by chance.
+# Long enough that no two different calls of a fleet collide by chance.
 FINGERPRINT_BYTES = 12
 _SEPARATOR = b'\0'
 
@@ -14,16 +14,16 @@
     target: str,
     body: bytes,
 ) -> str:
-    """Give the name shared by all calls of one caller that ask the same.
+    """Give the hex digest shared by all identical calls of one caller.
 
-    It is a digest in hex: what the call holds can't be read from it. The
-    caller is its organisation, since keys are replaced; a call without one
-    is like those of all callers without one.
+    The content of a call can't be read from it. The caller is identified by
+    its organisation, because API keys are replaced over time; all callers
+    without an organisation count as one caller.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (organisation, method, host.lower(), target):
-        # What callers write holds no such byte, so parts can't be shifted.
-        # Stored names are JSON, which can escape half of a pair of units.
+        # No part can contain the separator, so text can't move between parts.
+        # Names from stored JSON may hold unpaired surrogates.
         digest.update(part.encode('utf-8', 'surrogatepass') + _SEPARATOR)
     digest.update(body)
     return digest.hexdigest()
--- a/src/linnetwood/calls/guard.py
+++ b/src/linnetwood/calls/guard.py
@@ -1,4 +1,4 @@
-"""Guard the VM's back end: take calls up, refuse them truly, relay answers."""
+"""Admit or refuse calls to the VM's back end and forward its answers."""
 
 import asyncio
 import dataclasses
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(slots=True)
 class GuardState:
-    """What decides whether a call is taken up."""
+    """State that decides whether a call is accepted."""
 
     kind: str
     name: str
@@ -45,7 +45,7 @@
 
 
 def refusal(state: GuardState, start: Start) -> Ending | None:
-    """Give the reason not to take a call up, or None."""
+    """Give the ending that refuses a call, or None if it is accepted."""
     if state.leaving:
         return not_run(Code.LEAVING)
     if state.kind == 'engine':
@@ -54,12 +54,12 @@
     elif start.target != state.name:
         return not_run(Code.NOT_SERVING, f'is {state.name!r}')
     if state.in_flight >= state.slots:
-        return not_run(Code.BUSY, f'{state.slots} calls under way')
+        return not_run(Code.BUSY, f'{state.slots} calls in flight')
     return None
 
 
 class _AnswerForwarder:
-    """Turn a back end's answer into frames for the entry."""
+    """Forward a back end's answer to the entry as frames."""
 
     def __init__(
         self, stream: FrameStream, start: Start, in_flight: int
@@ -73,7 +73,7 @@
         self._in_flight = in_flight
 
     def head(self, status: int, headers: list[str], version: str) -> None:
-        """Send the head."""
+        """Send the status and headers."""
         self.status = status
         self.headers = headers
         head = Head(
@@ -87,20 +87,20 @@
             self._stream.send(FrameKind.HEAD, encode(head))
 
     def body(self, piece: bytes) -> None:
-        """Send a piece; keep it too while the answer is small."""
+        """Send a piece of the body; keep it while the answer is small."""
         self.length += len(piece)
         if self.length <= keys.MAX_STORED_ANSWER_BYTES:
             self.kept_body += piece
         try:
             self._stream.send(FrameKind.BODY, piece)
         except WireError as exc:
-            # Nobody reads in time; the guard cancels the call.
+            # The entry reads too slowly; the guard cancels the call.
             log(Event.CALL_CUT, call=self._start.call_id, code=exc.code)
             self._stream.close()
 
 
 class Guard:
-    """Serve calls that entries open; own the count of those under way."""
+    """Serve the calls of entries and count those in flight."""
 
     def __init__(
         self,
@@ -109,7 +109,7 @@
         memory: keys.KeyMemory,
         traces: Tracer | None = None,
     ) -> None:
-        """Guard one back end."""
+        """Guard one back end, with no calls in flight."""
         self._traces = traces or NoTraces()
         self.state = state
         self.idle = asyncio.Event()
@@ -125,19 +125,19 @@
         start.traceparent = span.traceparent
         ending = refusal(self.state, start)
         if ending is None:
-            ending = await self._run_with_key(stream, start, body)
+            ending = await self._check_key_and_run(stream, start, body)
         span.end(call=start.call_id, outcome=ending.outcome.name)
         await self._send_ending(stream, start, ending)
 
     def load(self) -> int:
-        """Give how many calls are under way."""
+        """Give the number of calls in flight."""
         return self.state.in_flight
 
     async def drained(self, limit_s: float) -> bool:
-        """Wait until no call is under way; tell whether that came in time."""
+        """Wait until no call is in flight; tell whether that came in time."""
         return await happened(self.idle, limit_s)
 
-    async def _run_with_key(
+    async def _check_key_and_run(
         self,
         stream: FrameStream,
         start: Start,
--- a/src/linnetwood/calls/keys.py
+++ b/src/linnetwood/calls/keys.py
@@ -1,9 +1,9 @@
-"""Keys that make a call run at most once, without agreement or disks.
+"""Keys that make a call run at most once, without consensus or disk storage.
 
-A key names the one process incarnation that may run it, and the key epoch in
-which it was minted. That process remembers the keys of its last epochs and
-refuses older ones, so no second run is possible anywhere, whatever entries
-believe and whoever restarts.
+A key names the one process incarnation that may run it and the key epoch in
+which it was minted. That process remembers the keys of its latest epochs and
+refuses older ones. So no second run is possible anywhere, even if entries hold
+stale membership data or processes restart.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Key:
-    """Whose key it is, since when, and which."""
+    """A key: owner VM and incarnation, epoch, and a nonce."""
 
     vm: str
     incarnation: int
@@ -30,12 +30,12 @@
     nonce: str
 
     def text(self) -> str:
-        """Give the form that callers see."""
+        """Give the text form that callers see."""
         return f'{self.vm}.{self.incarnation}.{self.epoch}.{self.nonce}'
 
 
 def parse(text: str) -> Key:
-    """Take a key apart, or raise CallError."""
+    """Parse a key; raises CallError if it is malformed."""
     fields = text.rsplit('.', _KEY_FIELDS - 1)
     if (
         len(text) > _MAX_KEY_CHARS
@@ -50,7 +50,7 @@
 
 
 class KeyDecision(enum.Enum):
-    """Say what may be done with a key."""
+    """How a call that carries a key is handled."""
 
     RUN = 'run'
     REPLAY = 'replay'
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A whole answer that was given, kept for a repeated key."""
+    """A complete answer that is kept for repeats of its key."""
 
     status: int
     headers: tuple[str, ...]
@@ -70,7 +70,7 @@
 
 
 class KeyMemory:
-    """Remember which keys were taken; no I/O, the time is passed in."""
+    """Remember which keys were claimed; no I/O, the time is passed in."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         limit: int,
         now: float,
     ) -> None:
-        """Start with nothing taken, in the first epoch."""
+        """Start in the first epoch, with no key claimed."""
         self.epoch = 1
         self._vm = vm
         self._incarnation = incarnation
@@ -91,7 +91,7 @@
         self._stored_answers: OrderedDict[str, StoredAnswer] = OrderedDict()
 
     def advance(self, now: float) -> bool:
-        """Begin a new epoch when it is time; tell whether it began."""
+        """Begin a new epoch if one is due; tell whether one began."""
         if now - self._since < self._epoch_s:
             return False
         self._since = now
@@ -101,7 +101,7 @@
         return True
 
     def claim(self, key: Key) -> KeyDecision:
-        """Take the key if it was never taken and could not have been."""
+        """Claim a key unless it was, or could have been, claimed before."""
         if (key.vm, key.incarnation) != (self._vm, self._incarnation):
             return KeyDecision.OTHER_OWNER
         claimed = self._claimed.get(key.epoch)
@@ -116,11 +116,11 @@
         return KeyDecision.RUN
 
     def release(self, key: Key) -> None:
-        """Give a key back whose call surely never began."""
+        """Release the key of a call that certainly never began."""
         self._claimed.get(key.epoch, set()).discard(key.nonce)
 
     def store_answer(self, key: Key, stored_answer: StoredAnswer) -> None:
-        """Keep a small whole answer for a repeated key."""
+        """Keep a complete answer of at most MAX_STORED_ANSWER_BYTES."""
         if len(stored_answer.body) > MAX_STORED_ANSWER_BYTES:
             return
         self._stored_answers[key.text()] = stored_answer
@@ -128,5 +128,5 @@
             self._stored_answers.popitem(last=False)
 
     def stored_answer(self, key: Key) -> StoredAnswer:
-        """Give the answer kept for a key."""
+        """Give the answer that is kept for a key."""
         return self._stored_answers[key.text()]
--- a/src/linnetwood/calls/quarantine.py
+++ b/src/linnetwood/calls/quarantine.py
@@ -1,4 +1,4 @@
-"""Refuse at the door calls that end the endpoints that run them."""
+"""Refuse at admission the calls that crash the endpoints that run them."""
 
 from collections.abc import Callable
 
@@ -14,18 +14,18 @@
 
 
 class Quarantine:
-    """Admit as another does, but for calls that endpoints crashed under."""
+    """Refuse calls that endpoints crashed under; pass on all others."""
 
     def __init__(
         self, crashes: CrashHistory, admit: Admit, clock: Clock
     ) -> None:
-        """Ask the other for all calls that are not refused."""
+        """Pass calls that are not refused to the given admission function."""
         self._crashes = crashes
         self._admit = admit
         self._clock = clock
 
     def __call__(self, call: DirectCall) -> Urgency | Ending:
-        """Give how urgent the call is, or why it is refused."""
+        """Give the urgency of the call, or the ending that refuses it."""
         now = self._clock.now()
         wait_s = self._crashes.refused_for_s(call.fingerprint, now)
         if wait_s <= 0:
@@ -34,7 +34,11 @@
                 self._crashes.note_admitted(call.fingerprint, now)
             return admitted
         crash_count = self._crashes.crash_count(call.fingerprint)
-        # It comes back when one like it is tried again: before that it would
-        # only be refused.
+        # Retry only when the next trial is due: before that the call would be
+        # refused again.
         after_ms = int(wait_s * _MILLISECONDS)
-        return not_run(Code.ENDS_ENDPOINTS, f'{crash_count} ended', after_ms)
+        return not_run(
+            Code.ENDS_ENDPOINTS,
+            f'{crash_count} endpoints crashed',
+            after_ms,
+        )
