--- a/src/linnetwood/platform/crashstore.py
+++ b/src/linnetwood/platform/crashstore.py
@@ -1,4 +1,4 @@
-"""The ends of endpoints that entries share, as keys of the platform's store."""
+"""Crash records that entries share, as keys of the platform's store."""
 
 import math
 import re
@@ -17,15 +17,15 @@
 from linnetwood.platform.store import LEASE_GONE, PlatformStore
 
 _KEY = re.compile(f'{records.CRASH_PREFIX}([0-9a-f]{{24}})/([0-9a-f]{{16}})')
-# Entries of one transaction, as the platform allows.
+# The platform's limit of keys per transaction.
 _MAX_KEYS_PER_WRITE = 32
 _NO_LEASE = 0
 
 
 class PlatformCrashStore:
-    """Write ends under a lease, so that they go with nobody to take them away.
+    """Write crash records under a lease, so that they expire by themselves.
 
-    One lease serves for half of its time: a crash then costs one call.
+    A lease is used for half of its lifetime; a crash then needs only one call.
     """
 
     def __init__(self, store: PlatformStore, clock: Clock) -> None:
@@ -37,13 +37,13 @@
 
     @property
     def max_records(self) -> int:
-        """Give how many ends one call may carry."""
+        """Give the maximum number of records per write."""
         return _MAX_KEYS_PER_WRITE
 
     async def write(
         self, added: Sequence[CrashRecord], removed: Sequence[CrashRecord]
     ) -> None:
-        """Write some ends and take away others, all or none."""
+        """Add some records and remove others, all or none."""
         lease = await self._current_lease() if added else _NO_LEASE
         try:
             await self._store.write(
@@ -65,7 +65,7 @@
 
 
 class CrashFeed:
-    """Take in the ends that entries share."""
+    """Apply the crash records in the store to the crash history."""
 
     def __init__(
         self,
@@ -74,14 +74,14 @@
         ignored: Ignored | None = None,
         removed: Callable[[CrashRecord], None] | None = None,
     ) -> None:
-        """Keep them as the store has them; tell which are taken away."""
+        """Update crashes from the store; call removed for removed records."""
         self._removed = removed or _ignore_removed
         self._crashes = crashes
         self._clock = clock
         self._ignored = ignored or Ignored()
 
     def replace_all(self, found: Snapshot) -> None:
-        """Take in all of them; one that nobody saw come counts from now."""
+        """Replace all records; one of unknown age counts from now."""
         now = self._clock.now()
         crashes = []
         for key, record in found.records.items():
@@ -92,7 +92,7 @@
         self._crashes.replace_shared(crashes)
 
     def apply_changes(self, changes: tuple[Change, ...]) -> None:
-        """Take in changes, in order."""
+        """Apply changes, in order."""
         now = self._clock.now()
         for change in changes:
             crash = self._read(change.key, change.record)
@@ -116,14 +116,14 @@
 
 
 def _known_for_s(age_s: float) -> float:
-    """Give an age as it counts: what nobody saw come counts from now."""
+    """Give the age of a record in seconds; 0 if it is unknown."""
     return age_s if math.isfinite(age_s) else 0
 
 
 def _ignore_removed(crash: CrashRecord) -> None:
-    """Nobody here takes ends away."""
+    """Ignore a removed record."""
 
 
 def crash_key(crash: CrashRecord) -> str:
-    """Give the key under which an end stands."""
+    """Give the store key of a record."""
     return f'{records.CRASH_PREFIX}{crash.fingerprint}/{crash.incarnation_id}'
--- a/src/linnetwood/programs/resident_crashes.py
+++ b/src/linnetwood/programs/resident_crashes.py
@@ -1,4 +1,4 @@
-"""What an entry knows of calls that end endpoints: seen here, and shared."""
+"""Crash tracking of an entry: crashes seen here and shared by others."""
 
 from collections.abc import Callable
 from random import Random
@@ -16,7 +16,7 @@
 
 
 class CrashTracker:
-    """Own the watch over crashes, and what is told of them."""
+    """Own the crash watch, the crash history and its publisher."""
 
     def __init__(
         self,
@@ -25,8 +25,8 @@
         clock: Clock,
         rng: Random,
     ) -> None:
-        """Suspect nobody."""
-        # How many entries share the store's calls.
+        """Start without suspects."""
+        # Number of entries that share the limit of calls to the store.
         self.entries: Callable[[], int] = _one_entry
         self._clock = clock
         self._crashes = CrashHistory()
@@ -44,16 +44,16 @@
         )
 
     def start(self) -> None:
-        """Begin to tell."""
+        """Start to write crash records to the store."""
         self._publisher.start()
 
     async def close(self) -> None:
-        """Watch and tell no more."""
+        """Stop watching and writing."""
         await self.watch.close()
         await self._publisher.close()
 
     def feed(self, ignored: Ignored) -> CrashFeed:
-        """Give what takes in the ends that others share."""
+        """Give the feed that applies the records shared by others."""
         return CrashFeed(
             self._crashes,
             self._clock,
@@ -61,8 +61,8 @@
             self._publisher.note_removed,
         )
 
-    def refuse_before(self, admit: Admit) -> Quarantine:
-        """Give what refuses calls that end endpoints, before all else."""
+    def quarantine_before(self, admit: Admit) -> Quarantine:
+        """Give an admission that first refuses calls that crash endpoints."""
         return Quarantine(self._crashes, admit, self._clock)
 
 
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -101,7 +101,7 @@
             lambda: self.route_table,
             self.dispatcher,
             path.dialect,
-            crashes.refuse_before(path.admission),
+            crashes.quarantine_before(path.admission),
             rng,
             metrics,
             self.config_age.basis,
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers over real sockets: answers, refusals, keys, leaving, outages."""
+"""Callers over real sockets: answers, refusals, keys, drains, outages."""
 
 import asyncio
 import json
@@ -24,22 +24,22 @@
 
 
 def body(prompt: str = 'p', tokens: int = 3) -> dict[str, object]:
-    """Give a good request."""
+    """Give a valid request."""
     return {'model': 'sevak', 'prompt': prompt, 'max_tokens': tokens}
 
 
 def expected(prompt: str, tokens: int) -> str:
-    """Give the one right answer."""
+    """Give the only correct answer."""
     words = [token('sevak@v1', prompt, index) for index in range(tokens)]
     return ''.join(f'data: {word}\n\n' for word in (*words, '[DONE]'))
 
 
 class CallersTest(unittest.IsolatedAsyncioTestCase):
-    """What callers see."""
+    """Answers and refusals as callers see them."""
 
     @running
     async def test_answers_and_refusals(self, rig: Rig) -> None:
-        """Good calls are answered whole, bad ones refused with a code."""
+        """Valid calls are answered, invalid ones are refused with a code."""
         await rig.entry()
         await rig.engine()
         await rig.booking()
@@ -68,8 +68,8 @@
         self.assertEqual(bad_key.headers[CODE], 'key-malformed')
 
     @running
-    async def test_old_desk_byte_for_byte(self, rig: Rig) -> None:
-        """A lookup through the system is what the desk itself answers."""
+    async def test_service_answer_byte_for_byte(self, rig: Rig) -> None:
+        """An answer through the system equals the service's own answer."""
         await rig.entry()
         await rig.booking()
         await rig.until(lambda: len(rig.entries[0].runtime.gossip.members) == 2)
@@ -107,8 +107,8 @@
         self.assertEqual(rig.service.runs, {'slot': 1})
 
     @running
-    async def test_key_of_a_process_that_is_gone(self, rig: Rig) -> None:
-        """After its endpoint's restart a key is unknown, and never runs."""
+    async def test_key_of_a_restarted_endpoint(self, rig: Rig) -> None:
+        """After a restart of its endpoint a key is unknown and never runs."""
         await rig.entry()
         first = await rig.booking()
         await rig.until(lambda: len(rig.entries[0].runtime.gossip.members) == 2)
@@ -126,8 +126,8 @@
         self.assertEqual(rig.service.runs, {})
 
     @running
-    async def test_stream_outlives_a_drain(self, rig: Rig) -> None:
-        """What is under way finishes; new calls are refused, not run."""
+    async def test_stream_finishes_during_a_drain(self, rig: Rig) -> None:
+        """Calls in flight finish; new calls are refused without a run."""
         await rig.entry()
         endpoint = await rig.engine(token_s=0.05)
         await rig.apply(1)
@@ -143,7 +143,7 @@
 
     @running
     async def test_planned_stop_of_an_entry(self, rig: Rig) -> None:
-        """An entry is not ready first, and its streams finish."""
+        """Streams of a stopping entry finish."""
         await rig.entry()
         endpoint = await rig.engine(token_s=0.05)
         await rig.apply(1)
@@ -155,8 +155,8 @@
         await stop
 
     @running
-    async def test_caller_that_goes_away(self, rig: Rig) -> None:
-        """The engine is told to stop when the caller goes."""
+    async def test_caller_disconnects(self, rig: Rig) -> None:
+        """The engine is told to stop when the caller disconnects."""
         await rig.entry()
         endpoint = await rig.engine(token_s=0.05)
         await rig.apply(1)
@@ -174,7 +174,7 @@
 
     @running
     async def test_trace_context_reaches_the_engine(self, rig: Rig) -> None:
-        """Without a recorder the caller's own context is passed on."""
+        """Without a trace recorder the caller's own context is forwarded."""
         await rig.entry()
         await rig.engine()
         await rig.apply(1)
@@ -184,7 +184,7 @@
 
 
 class BackendTest(unittest.IsolatedAsyncioTestCase):
-    """What is said of a back end that can't be reached."""
+    """Errors of back ends and adapters."""
 
     @running
     async def test_refused_connection_is_not_run(self, rig: Rig) -> None:
@@ -199,8 +199,8 @@
         found = (reply.headers[OUTCOME], reply.headers[CODE])
         self.assertEqual(found, ('not-run', 'backend-unreachable'))
 
-    async def test_every_adapter_turns_failures_into_its_own(self) -> None:
-        """No error of the library passes an adapter."""
+    async def test_adapters_raise_their_own_errors(self) -> None:
+        """No error of the HTTP library leaves an adapter."""
         client = open_client(4)
         url = f'http://127.0.0.1:{Ports().take(1)[0]}'
         cases = (
@@ -217,11 +217,11 @@
 
 
 class OutageTest(unittest.IsolatedAsyncioTestCase):
-    """The key-value service is away."""
+    """The key-value service is unreachable."""
 
     @running
     async def test_serving_goes_on(self, rig: Rig) -> None:
-        """Calls are answered, changes refused, a newcomer learns from peers."""
+        """Calls are answered, changes refused; new entries learn from peers."""
         await rig.entry()
         await rig.engine()
         await rig.apply(1)
@@ -238,8 +238,8 @@
         self.assertEqual(reply.body.decode(), expected('hello', 5))
 
     @running
-    async def test_alone_in_an_outage_is_not_ready(self, rig: Rig) -> None:
-        """A process that can reach nobody says so."""
+    async def test_lone_entry_in_an_outage_is_not_ready(self, rig: Rig) -> None:
+        """An entry that reaches no other process is not ready."""
         rig.kv.down = True
         entry = await rig.entry()
         self.assertIn('no configuration', entry.reason())
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,17 +1,17 @@
-"""Calls that end endpoints, at 3 to 98 entries, with no network or clock.
-
-Load pattern: such a call comes twice a second, with an id of its own each time,
-at an entry drawn by lot; each endpoint that begins to run it ends 0.1 s later,
-with every call beside it. Beside it run calls that are alike with one another
-(everybody asks the same) and calls that are like no other. The figures are
-those of the incident: 12 to 60 endpoints with 8 calls each, ends that all know
-0.15 s later (0.1 s of gathering, a call to the store, a wait that ends), back
-after 3 s, two attempts a call.
-
-Seen later: of 6 endpoints 4 ended within a second under one such call, in an
-overload. It waits there 0.3 to 0.5 s before it begins, longer than it takes to
-come again at another entry. So the load has a wait of that length, and several
-such calls at once.
+"""Calls that crash endpoints, at 3 to 98 entries, with no network or clock.
+
+Load pattern: a fatal call is sent twice a second, with a new call id each time,
+to a random entry. Each endpoint that starts to run it crashes 0.1 s later and
+loses all other calls that it runs. The other calls are of two kinds: identical
+calls that many callers send, and calls that are sent only once. The numbers
+are those of the incident: 12 to 60 endpoints with 8 calls each, crash records
+that all entries have 0.15 s after the crash (0.1 s of gathering, a call to the
+store, the end of a watch), restarts that take 3 s, two attempts per call.
+
+Under overload, 4 of 6 endpoints crashed within a second under one such call: it
+waits 0.3 to 0.5 s on an endpoint before it starts, which is longer than it
+takes to be sent again to another entry. So the load also has a wait of that
+length, and several fatal calls at once.
 """
 
 import dataclasses
@@ -51,13 +51,13 @@
 
 
 def kind(fingerprint: str) -> str:
-    """Give what calls are counted by: alike, or like no other."""
+    """Give the kind by which calls are counted: identical or unique."""
     return ALIKE if fingerprint == ALIKE else OWN
 
 
 @dataclasses.dataclass
 class Endpoint:
-    """One endpoint: its life, until when it is away, and what it runs."""
+    """An endpoint: its incarnation, its restart and the calls it runs."""
 
     incarnation: int = 0
     down_until: float = 0
@@ -69,7 +69,7 @@
 
 
 class Fleet:
-    """Entries that share what ended, and endpoints that end."""
+    """Entries that share crash records, and endpoints that crash."""
 
     def __init__(
         self,
@@ -94,7 +94,7 @@
         self.incarnations = 0
 
     def run(self) -> None:
-        """Let time pass."""
+        """Run the simulation for DURATION_S."""
         now = float()
         next_call_at = CALL_INTERVAL_S
         number = 0
@@ -112,7 +112,7 @@
                 self._receive(self.rng.choice((ALIKE, own)), now)
 
     def answered_share(self, kind_name: str) -> float:
-        """Give the share of calls of a kind that were answered."""
+        """Give the fraction of calls of a kind that were answered."""
         return self.answered[kind_name] / self.calls_received[kind_name]
 
     def _receive(self, fingerprint: str, now: float) -> None:
@@ -120,7 +120,7 @@
         if fingerprint not in self.fatal:
             self.calls_received[kind(fingerprint)] += 1
         refused = self.entries[entry].refused_for_s(fingerprint, now)
-        # Without a place a call is refused, too, and isn't tried.
+        # Without a free slot a call is refused too and is no trial.
         if not refused and self._available(now):
             self.entries[entry].note_admitted(fingerprint, now)
             self._send(fingerprint, entry, now, 2)
@@ -195,10 +195,10 @@
 
 
 class LoadTest(unittest.TestCase):
-    """What the calls cost, by the fleet as a whole."""
+    """Cost of fatal calls for the whole fleet."""
 
-    def test_few_endpoints_end(self) -> None:
-        """Hardly more than the first coming costs, whatever the size."""
+    def test_few_endpoints_crash(self) -> None:
+        """Few more crash than under the first fatal call, at any size."""
         for entries, endpoints in ((3, 12), (7, 12), (39, 26), (98, 60)):
             for seed in range(20):
                 fleet = Fleet(entries, endpoints, seed)
@@ -217,8 +217,8 @@
                     )
                     self.assertGreater(answered, 0.95)
 
-    def test_several_that_wait_in_queues(self) -> None:
-        """Each ends few, and whatever else is sent goes on."""
+    def test_several_fatal_calls_wait_in_queues(self) -> None:
+        """Each crashes few endpoints, and other calls are still answered."""
         sizes = ((3, 12), (40, 26), (98, 60))
         for (entries, endpoints), seed in product(sizes, range(10)):
             fleet = Fleet(
@@ -234,13 +234,14 @@
                 self.assertGreater(fleet.answered_share(ALIKE), 0.85)
                 self.assertGreater(fleet.answered_share(OWN), 0.85)
 
-    def test_a_fleet_that_ends_at_once(self) -> None:
-        """Calls that all send go on as those that nobody else sends.
+    def test_whole_fleet_crashes_at_once(self) -> None:
+        """Identical calls are answered as often as calls sent once.
 
-        Seen: three such calls end nearly all of six endpoints within a second,
-        and whatever else runs there. Calls that are alike lose an answer at
-        two endpoints before any of them is answered. Refused for a minute,
-        none of them can clear the others.
+        Guard against identical calls that are refused for a minute. Three
+        fatal calls crash nearly all of six endpoints within a second, with all
+        calls that run there. Identical calls lose an answer on two endpoints
+        before any of them is answered; while all of them are refused, none can
+        clear the others.
         """
         for seed in range(20):
             fleet = Fleet(
@@ -252,8 +253,8 @@
                 self.assertLessEqual(max(fleet.crashes_by_call.values()), 4)
                 self.assertGreater(fleet.answered_share(ALIKE), others - 0.1)
 
-    def test_one_that_was_answered_before(self) -> None:
-        """It costs some endpoints more, and none once three have ended."""
+    def test_fatal_call_that_was_answered_before(self) -> None:
+        """It crashes a few more endpoints, and none after the third crash."""
         sizes = ((3, 12), (6, 6), (40, 26), (98, 60))
         for (entries, endpoints), seed in product(sizes, range(5)):
             fleet = Fleet(entries, endpoints, seed, max_queue_s=MAX_QUEUE_S)
@@ -271,32 +272,32 @@
 
 
 class RulesTest(unittest.TestCase):
-    """What is refused, until when, and what clears it."""
+    """Which calls are refused, for how long, and what clears them."""
 
     def setUp(self) -> None:
         self.crashes = CrashHistory()
 
     def crash(self, *incarnation_ids: str, at: float = 0) -> None:
-        """Let lives end under calls that are alike."""
+        """Let incarnations crash under calls of one fingerprint."""
         for incarnation_id in incarnation_ids:
             self.crashes.add(CrashRecord(FATAL, incarnation_id), at)
 
-    def test_one_end_is_borne(self) -> None:
-        """Whoever was near by is tried elsewhere."""
+    def test_one_crash_is_tolerated(self) -> None:
+        """A bystander may be retried on another endpoint."""
         self.crash('a')
         self.crash('a')
         self.assertEqual(self.crashes.refused_for_s(FATAL, 0), 0)
         self.assertTrue(self.crashes.may_retry(FATAL))
 
-    def test_two_are_not(self) -> None:
-        """Nor is it sent to a second endpoint by the same call."""
+    def test_two_crashes_refuse(self) -> None:
+        """A call under way is not sent to a second endpoint either."""
         self.crash('a', 'b')
         self.assertEqual(self.crashes.refused_for_s(FATAL, 0), REFUSAL_FIRST_S)
         self.assertFalse(self.crashes.may_retry(FATAL))
         self.assertEqual(self.crashes.refused_for_s('other', 0), 0)
 
-    def test_one_is_tried_alone_in_the_end(self) -> None:
-        """If it ends one more, the next comes after twice the time."""
+    def test_trial_after_a_refusal(self) -> None:
+        """If it crashes an endpoint, the next comes after twice the time."""
         self.crash('a', 'b')
         later = REFUSAL_FIRST_S
         self.assertEqual(self.crashes.refused_for_s(FATAL, later), 0)
@@ -307,7 +308,7 @@
         self.assertEqual(wait_s, 2 * REFUSAL_FIRST_S)
 
     def test_an_answer_clears(self) -> None:
-        """And says which ends others must no longer count."""
+        """It gives the records that other entries must drop."""
         self.crash('a', 'b')
         held = self.crashes.note_answered(FATAL)
         self.assertEqual(
@@ -316,8 +317,8 @@
         self.assertEqual(self.crashes.refused_for_s(FATAL, 0), 0)
         self.assertEqual(self.crashes.note_answered(FATAL), [])
 
-    def test_answers_from_before(self) -> None:
-        """One like them is soon tried, again and again while ends are new."""
+    def test_answers_before_the_crashes(self) -> None:
+        """Trials come soon and repeatedly while the crashes are recent."""
         self.crashes.note_answered(FATAL)
         self.crash('a', 'b')
         self.assertEqual(
@@ -333,16 +334,16 @@
         wait_s = self.crashes.refused_for_s(FATAL, ANSWER_TRUST_S)
         self.assertEqual(wait_s, 4 * REFUSAL_FIRST_S)
 
-    def test_answers_are_not_kept_for_ever(self) -> None:
-        """What everybody sends is answered again in time."""
+    def test_old_answers_are_dropped(self) -> None:
+        """Common calls are answered again before they are dropped."""
         self.crashes.note_answered(FATAL)
         for number in range(5000):
             self.crashes.note_answered(f'l-{number}')
         self.crash('a', 'b')
         self.assertEqual(self.crashes.refused_for_s(FATAL, 0), REFUSAL_FIRST_S)
 
-    def test_ends_are_forgotten(self) -> None:
-        """Those of long ago, and those that are withdrawn."""
+    def test_old_and_withdrawn_records_are_dropped(self) -> None:
+        """Records expire, and withdrawn ones no longer count."""
         self.crash('a', 'b')
         self.crashes.expire(CRASH_RECORD_TTL_S)
         self.assertEqual(self.crashes.crash_count(FATAL), 0)
@@ -351,8 +352,8 @@
         self.crashes.remove(CrashRecord('other', 'a'))
         self.assertEqual(self.crashes.crash_count(FATAL), 1)
 
-    def test_what_is_shared_is_replaced(self) -> None:
-        """Ends that were seen here stay: they may not have been told yet."""
+    def test_shared_records_are_replaced(self) -> None:
+        """Crashes seen here stay: they may not have been shared yet."""
         self.crash('mine')
         self.crashes.replace_shared(
             [(CrashRecord(FATAL, 'a'), 0), (CrashRecord(FATAL, 'b'), 0)]
@@ -361,8 +362,8 @@
         self.crashes.replace_shared([(CrashRecord(FATAL, 'b'), 0)])
         self.assertEqual(self.crashes.crash_count(FATAL), 2)
 
-    def test_nobody_can_fill_it(self) -> None:
-        """The oldest go; what is held stays bounded."""
+    def test_memory_is_bounded(self) -> None:
+        """The oldest suspects are dropped."""
         for number in range(5000):
             self.crashes.add(CrashRecord(f'l-{number}', 'a'), number)
         self.assertEqual(self.crashes.crash_count('l-0'), 0)
@@ -378,7 +379,7 @@
         ),
     )
     def test_any_order(self, steps: list[tuple[str, str, str]]) -> None:
-        """A call is refused where two lives ended since its last answer."""
+        """A call is refused after two crashes since its last answer."""
         crashes = CrashHistory()
         held: dict[str, set[str]] = {'x': set(), 'y': set()}
         for action, fingerprint, incarnation_id in steps:
--- a/tests/test_crashtelling.py
+++ b/tests/test_crashtelling.py
@@ -1,12 +1,12 @@
-"""What entries write of crashes: nothing stays, and calls to the store are few.
-
-Load patterns: (a) the answer of a write is lost, and the call is cleared before
-it is written again; the write may also be carried out seconds later. (b) At 410
-entries, the size to design for, 16 calls of each of 60 endpoints are lost at
-once, as when an availability zone loses power. (c) Calls that are alike at all
-of these entries are answered within a moment after one of them ended with its
-endpoint, as with a hot key. The smallest store that was met takes 400 writing
-calls a second from all entries; crashes may have half of these.
+"""Crash records in the store: none is left over, and writes are few.
+
+Load patterns: (a) The answer to a write is lost, and the call is cleared before
+the write is repeated; the store may also carry out the lost write seconds
+later. (b) At 410 entries, the design size, 16 calls of each of 60 endpoints are
+lost at once, as when an availability zone loses power. (c) Identical calls at
+all of these entries are answered shortly after one of them was lost in a crash,
+as with a hot key. The smallest known store accepts 400 writes a second from all
+entries; crash records may use half of them.
 """
 
 import asyncio
@@ -24,14 +24,14 @@
 ENTRIES = 410
 ENDPOINTS = 60
 CALLS = 16
-# What a watch takes to tell all entries of a change.
+# Time until the store's watches have notified all entries of a change.
 WATCH_DELAY_S = 0.15
 KNOWN_WITHIN_S = 3.0
-MOST_PER_S = 200
+MAX_CALLS_PER_S = 200
 
 
 class LostAnswers:
-    """Carry the first writes out after a while, and never answer them."""
+    """A store that carries out the first writes late and never answers them."""
 
     max_records = 4
 
@@ -59,7 +59,7 @@
 
 
 class Fleet:
-    """Entries before one store that tells all of them what was taken away."""
+    """Entries and one store that notifies all of them of removals."""
 
     max_records = 32
 
@@ -90,8 +90,8 @@
         for publisher in self.publishers:
             await publisher.close()
 
-    def most_per_s(self) -> int:
-        """Give the calls of the worst second."""
+    def max_calls_per_s(self) -> int:
+        """Give the number of calls in the busiest second."""
         return max(
             sum(self.calls[round(at + tenth / 10, 1)] for tenth in range(10))
             for at in list(self.calls)
@@ -104,14 +104,14 @@
 
 
 class LostAnswersTest(unittest.TestCase):
-    """An end that may have been written, and is cleared meanwhile."""
+    """A record that may have been written and is withdrawn meanwhile."""
 
     def remaining(
         self, store: LostAnswers, withdrawn_after_s: float
     ) -> set[CrashRecord]:
-        """Clear an end so long after it was told; give what stays."""
+        """Withdraw a record some time after sharing it; give what remains."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             publisher = CrashPublisher(store, Random(1), lambda: 1)
             publisher.start()
             publisher.share(CRASH)
@@ -120,29 +120,29 @@
             await asyncio.sleep(60)
             await publisher.close()
 
-        run(play())
+        run(scenario())
         return store.crashes
 
-    def test_cleared_while_no_answer_comes(self) -> None:
-        """It is taken away, whether or not it was written."""
+    def test_withdrawn_while_the_write_is_unanswered(self) -> None:
+        """It is removed, whether or not it was written."""
         self.assertEqual(self.remaining(LostAnswers(1), 0.3), set())
 
-    def test_cleared_before_it_is_written_again(self) -> None:
-        """Between two tries."""
+    def test_withdrawn_before_the_write_is_repeated(self) -> None:
+        """It is withdrawn between two attempts to write it."""
         self.assertEqual(self.remaining(LostAnswers(1), 0.62), set())
 
-    def test_written_seconds_later(self) -> None:
-        """What was taken away too early is taken away again."""
+    def test_write_carried_out_seconds_later(self) -> None:
+        """A record that is removed before its late write is removed again."""
         self.assertEqual(self.remaining(LostAnswers(1, 4.0), 0.62), set())
 
 
 class GrowthTest(unittest.TestCase):
-    """Calls to the store after a crash, at the size to design for."""
+    """Calls to the store after a crash, at the design size."""
 
-    def test_a_zone_without_power(self) -> None:
-        """All know within their time; the store is not pressed."""
+    def test_zone_loses_power(self) -> None:
+        """All records are written in time, within half the store's limit."""
 
-        async def play() -> Fleet:
+        async def scenario() -> Fleet:
             fleet = Fleet()
             rng = Random(3)
             for number in range(ENDPOINTS):
@@ -154,15 +154,15 @@
             await fleet.close()
             return fleet
 
-        fleet = run(play())
+        fleet = run(scenario())
         self.assertEqual(len(fleet.known), ENDPOINTS * CALLS)
         self.assertLessEqual(max(fleet.known.values()), KNOWN_WITHIN_S)
-        self.assertLessEqual(fleet.most_per_s(), MOST_PER_S)
+        self.assertLessEqual(fleet.max_calls_per_s(), MAX_CALLS_PER_S)
 
-    def test_a_crash_of_one_endpoint(self) -> None:
-        """It is told at once, however many entries there are."""
+    def test_crash_of_one_endpoint(self) -> None:
+        """It is written at once, however many entries there are."""
 
-        async def play() -> Fleet:
+        async def scenario() -> Fleet:
             fleet = Fleet()
             for call in range(CALLS):
                 fleet.publishers[call].share(
@@ -172,14 +172,14 @@
             await fleet.close()
             return fleet
 
-        fleet = run(play())
+        fleet = run(scenario())
         self.assertLessEqual(sum(fleet.calls.values()), CALLS)
         self.assertLessEqual(max(fleet.known.values()), 0.2)
 
-    def test_a_crash_while_another_is_cleared(self) -> None:
-        """It does not wait for the turn of what is taken away."""
+    def test_crash_while_another_is_withdrawn(self) -> None:
+        """A new record does not wait for the delay of removals."""
 
-        async def play() -> Fleet:
+        async def scenario() -> Fleet:
             fleet = Fleet()
             for publisher in fleet.publishers:
                 publisher.withdraw(CRASH)
@@ -189,12 +189,12 @@
             await fleet.close()
             return fleet
 
-        self.assertIn(CrashRecord('l', 'b'), run(play()).known)
+        self.assertIn(CrashRecord('l', 'b'), run(scenario()).known)
 
-    def test_all_see_an_answer(self) -> None:
-        """One takes it away, and the others see that."""
+    def test_all_entries_withdraw_the_same_record(self) -> None:
+        """A few entries remove it; the others see that and don't write."""
 
-        async def play() -> Fleet:
+        async def scenario() -> Fleet:
             fleet = Fleet()
             for publisher in fleet.publishers:
                 publisher.withdraw(CRASH)
@@ -202,7 +202,7 @@
             await fleet.close()
             return fleet
 
-        fleet = run(play())
+        fleet = run(scenario())
         self.assertLessEqual(sum(fleet.calls.values()), CALLS)
 
 
--- a/tests/test_crashwatch.py
+++ b/tests/test_crashwatch.py
@@ -1,4 +1,4 @@
-"""What tells a crash, and how all entries learn of it; in virtual time."""
+"""Crash detection, and how all entries learn of crashes; virtual time."""
 
 import asyncio
 import unittest
@@ -24,7 +24,7 @@
 
 
 class RecordedReports:
-    """Keep what is told."""
+    """Record the reports of a crash watch."""
 
     def __init__(self) -> None:
         self.shared: list[CrashRecord] = []
@@ -38,7 +38,7 @@
 
 
 class FakeCrashStore:
-    """Take what is written, but for the first few times."""
+    """A store whose first few writes fail."""
 
     max_records = 4
 
@@ -59,7 +59,7 @@
 
 
 class Scene:
-    """An entry that lost an answer of one endpoint."""
+    """An entry whose answer from one endpoint breaks off."""
 
     def __init__(self, *refused: bool) -> None:
         loop = asyncio.get_running_loop()
@@ -80,14 +80,14 @@
         return self.probe_results.pop(0) if self.probe_results else False
 
     async def lose_answer(self, streamed_s: float = 0) -> int:
-        """Lose an answer, let time pass, and count the ends."""
+        """Lose an answer, wait, and count the crashes held for its call."""
         self.watch.note_lost(FINGERPRINT, ENDPOINT, streamed_s)
         await asyncio.sleep(20)
         return self.crashes.crash_count(FINGERPRINT)
 
 
 class CrashWatchTest(unittest.TestCase):
-    """An answer that broke off, and what else is seen of its endpoint."""
+    """An answer that broke off, with other observations of its endpoint."""
 
     def count_crashes(
         self,
@@ -96,9 +96,9 @@
         before: Endpoint | None = None,
         after: Endpoint | None = None,
     ) -> int:
-        """Give how many ends are held against the call."""
+        """Give the number of crashes held for the call."""
 
-        async def play() -> int:
+        async def scenario() -> int:
             scene = Scene(*refused)
             if before is not None:
                 scene.directory.update(before)
@@ -107,19 +107,19 @@
                 loop.call_later(2, scene.directory.update, after)
             return await scene.lose_answer(streamed_s)
 
-        return run(play())
+        return run(scenario())
 
-    def test_a_connection_that_is_refused(self) -> None:
-        """It tells a crash, also where one more was still accepted."""
+    def test_refused_connection(self) -> None:
+        """It shows a crash, even if one more connection was accepted before."""
         self.assertEqual(self.count_crashes(True), 1)
         self.assertEqual(self.count_crashes(False, True), 1)
 
-    def test_an_endpoint_that_lives(self) -> None:
-        """A cut, a reset, a spoilt answer: nobody is suspected."""
+    def test_endpoint_still_runs(self) -> None:
+        """A cut, a reset or a spoilt answer makes no call suspect."""
         self.assertEqual(self.count_crashes(), 0)
 
-    def test_another_life_at_the_address(self) -> None:
-        """Under its id or another one: the earlier life has ended."""
+    def test_new_incarnation_at_the_address(self) -> None:
+        """Under the same id or another one, the earlier incarnation crashed."""
         for other in (
             Endpoint('i-1', 'pool', '10.0.0.1', 80, 'z1', 8, True, born=9),
             Endpoint('i-2', 'pool', '10.0.0.1', 80, 'z1', 8, ready=True),
@@ -128,37 +128,37 @@
                 crash_count = self.count_crashes(after=other)
                 self.assertEqual(crash_count, 1)
 
-    def test_an_address_that_others_use_now(self) -> None:
-        """Another service says nothing of this one."""
+    def test_address_used_by_another_service(self) -> None:
+        """Another service at the address shows no crash."""
         other = Endpoint('i-9', 'desk', '10.0.0.1', 80, 'z1', 8, ready=True)
         self.assertEqual(self.count_crashes(after=other), 0)
 
-    def test_an_end_that_was_told_beforehand(self) -> None:
-        """A drain ends calls that outlast it; that is no crash."""
+    def test_announced_stop(self) -> None:
+        """A drain cuts calls that outlast it; that is no crash."""
         leaving = Endpoint(
             'i-1', 'pool', '10.0.0.1', 80, 'z1', 8, False, born=5
         )
         crash_count = self.count_crashes(True, before=leaving)
         self.assertEqual(crash_count, 0)
 
-    def test_an_entry_that_has_gone(self) -> None:
-        """So did the endpoint's word, before its calls broke off."""
+    def test_endpoint_no_longer_listed(self) -> None:
+        """It left the directory before its calls broke off: no crash."""
 
-        async def play() -> int:
+        async def scenario() -> int:
             scene = Scene(True)
             scene.directory.mark_removed('i-1', 0)
             return await scene.lose_answer()
 
-        self.assertEqual(run(play()), 0)
+        self.assertEqual(run(scenario()), 0)
 
-    def test_a_call_that_ran_well(self) -> None:
-        """It is not what ended the endpoint."""
+    def test_call_that_streamed_for_long(self) -> None:
+        """It did not cause the crash."""
         self.assertEqual(self.count_crashes(True, streamed_s=1.2), 0)
 
-    def test_all_suspects_of_one_crash(self) -> None:
-        """One look serves all; those that are noticed later count too."""
+    def test_all_suspects_of_a_crash(self) -> None:
+        """One check serves all calls; those lost a little later count too."""
 
-        async def play() -> Scene:
+        async def scenario() -> Scene:
             scene = Scene(True)
             for number in range(8):
                 scene.watch.note_lost(f'l-{number}', ENDPOINT, 0)
@@ -168,7 +168,7 @@
             scene.watch.note_answered('l-3')
             return scene
 
-        scene = run(play())
+        scene = run(scenario())
         self.assertEqual(len(scene.reports.shared), 9)
         self.assertEqual(scene.crashes.crash_count('late'), 1)
         self.assertEqual(
@@ -177,26 +177,26 @@
 
 
 class CrashPublisherTest(unittest.TestCase):
-    """What is shared, in how many calls."""
+    """Which records are written, in how many calls."""
 
     def run_publisher(
         self,
         store: FakeCrashStore,
         work: Callable[[CrashPublisher], Awaitable[None]],
     ) -> None:
-        """Let a teller work for a while."""
+        """Run a publisher for a while."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             publisher = CrashPublisher(store, Random(1), lambda: 1)
             publisher.start()
             await work(publisher)
             await asyncio.sleep(10)
             await publisher.close()
 
-        run(play())
+        run(scenario())
 
-    def test_the_suspects_of_a_crash_go_together(self) -> None:
-        """As many at a time as a call may carry, soon enough."""
+    def test_suspects_of_a_crash_are_written_together(self) -> None:
+        """Each call carries as many as the store allows, within 0.3 s."""
         store = FakeCrashStore()
         crashes = [CrashRecord(f'l-{number}', 'a') for number in range(6)]
 
@@ -209,8 +209,8 @@
         self.run_publisher(store, work)
         self.assertEqual(len(store.calls), 2)
 
-    def test_a_store_that_is_away(self) -> None:
-        """It is told within a second of its return."""
+    def test_unreachable_store(self) -> None:
+        """It gets the record within a second after it is reachable again."""
         store = FakeCrashStore(fails=8)
 
         async def work(publisher: CrashPublisher) -> None:
@@ -219,7 +219,7 @@
         self.run_publisher(store, work)
         self.assertEqual(store.crashes, {CRASH})
 
-    def test_cleared_before_it_was_told(self) -> None:
+    def test_withdrawn_before_it_is_written(self) -> None:
         """Nothing is written."""
         store = FakeCrashStore()
 
@@ -230,8 +230,8 @@
         self.run_publisher(store, work)
         self.assertEqual(store.crashes, set())
 
-    def test_cleared_while_it_is_told(self) -> None:
-        """It is taken away again."""
+    def test_withdrawn_while_it_is_written(self) -> None:
+        """It is removed again."""
         store = FakeCrashStore()
 
         async def work(publisher: CrashPublisher) -> None:
@@ -245,7 +245,7 @@
 
 
 class CrashFeedTest(unittest.TestCase):
-    """Ends as they stand in the store."""
+    """Crash records read from the store."""
 
     def setUp(self) -> None:
         self.crashes = CrashHistory()
@@ -253,8 +253,8 @@
         self.addCleanup(loop.close)
         self.feed = CrashFeed(self.crashes, VirtualClock(loop))
 
-    def test_ends_come_and_go(self) -> None:
-        """By changes and by whole ranges."""
+    def test_records_are_added_and_removed(self) -> None:
+        """By single changes and by whole ranges."""
         key = crash_key(CRASH)
         self.assertLessEqual(len(key), 200)
         self.feed.apply_changes((Change(key, Record(b'', 3)),))
@@ -266,8 +266,8 @@
         self.feed.replace_all(Snapshot({}, 4))
         self.assertEqual(self.crashes.crash_count(FINGERPRINT), 0)
 
-    def test_what_another_took_away(self) -> None:
-        """Nobody here need take it away."""
+    def test_removed_by_another_entry(self) -> None:
+        """The publisher is told, so that it need not remove the record."""
         removed: list[CrashRecord] = []
         loop = asyncio.new_event_loop()
         self.addCleanup(loop.close)
@@ -278,8 +278,8 @@
         feed.apply_changes((Change(crash_key(CRASH), None),))
         self.assertEqual(removed, [CRASH])
 
-    def test_keys_that_others_wrote(self) -> None:
-        """What is no such key is passed over; its value never counts."""
+    def test_unexpected_keys(self) -> None:
+        """Other keys are ignored, and the value of a key never matters."""
         for key in (
             'ends/',
             'ends/x/y',
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -1,4 +1,4 @@
-"""Shares, bounds and early refusal."""
+"""Fair queue: shares, limits and early refusal."""
 
 import unittest
 
@@ -20,8 +20,8 @@
     return queue
 
 
-def after_a_pause() -> FairQueue:
-    """Give a queue where the small one was quiet during a long backlog."""
+def queue_after_a_pause() -> FairQueue:
+    """Give a queue where "small" paused during a long backlog."""
     queue = full_queue()
     queue.submit('small', 0, 1000, 0)
     for _ in range(60):
@@ -31,7 +31,7 @@
 
 
 def drain(queue: FairQueue, count: int) -> list[str]:
-    """Free one slot after another and give who was let in."""
+    """Free one slot after another; give whose calls were admitted."""
     found = []
     for _ in range(count):
         queue.release(0.01)
@@ -40,7 +40,7 @@
 
 
 class FairnessTest(unittest.TestCase):
-    """What is let in, queued and refused."""
+    """Which calls are admitted, queued and refused."""
 
     def test_shares_hold_under_contention(self) -> None:
         """Three of four slots go to the organisation with three shares."""
@@ -48,18 +48,18 @@
         for _ in range(20):
             queue.submit('large', 0, 1000, 0)
             queue.submit('small', 0, 1000, 0)
-        let_in = drain(queue, 16)
-        self.assertEqual(let_in.count('large'), 12)
+        admitted = drain(queue, 16)
+        self.assertEqual(admitted.count('large'), 12)
 
-    def test_idle_capacity_is_lent(self) -> None:
-        """An organisation alone gets every slot."""
+    def test_idle_capacity_is_borrowed(self) -> None:
+        """An organisation that is alone gets every slot."""
         queue = full_queue()
         for _ in range(5):
             queue.submit('small', 0, 1000, 0)
         self.assertEqual(drain(queue, 5), ['small'] * 5)
 
     def test_newcomer_is_not_starved_by_a_backlog(self) -> None:
-        """A small organisation's first call is next or next but one."""
+        """A small organisation's first call is admitted first or second."""
         queue = full_queue()
         for _ in range(50):
             queue.submit('large', 0, 1000, 0)
@@ -67,19 +67,19 @@
         queue.submit('small', 0, 1000, 0)
         self.assertIn('small', drain(queue, 2))
 
-    def test_what_was_left_of_a_share_is_caught_up_with(self) -> None:
-        """Calls that come together after a pause go before a backlog."""
-        queue = after_a_pause()
+    def test_unused_share_is_used_later(self) -> None:
+        """Calls that arrive together after a pause pass a backlog."""
+        queue = queue_after_a_pause()
         for _ in range(3):
             queue.submit('small', 0, 1000, 0)
         self.assertEqual(drain(queue, 3), ['small'] * 3)
 
-    def test_a_long_pause_is_worth_no_more(self) -> None:
-        """What is caught up with stays small beside the others' backlog."""
-        queue = after_a_pause()
+    def test_unused_share_is_limited(self) -> None:
+        """After a long pause only a few calls pass the others' backlog."""
+        queue = queue_after_a_pause()
         for _ in range(20):
             queue.submit('small', 0, 1000, 0)
-        # Eight, then a quarter of the rest by the shares.
+        # 8 calls, then a quarter of the rest by the shares.
         self.assertLessEqual(drain(queue, 20).count('small'), 12)
 
     def test_priority_then_deadline(self) -> None:
@@ -94,7 +94,7 @@
         self.assertEqual(order, [tickets[2], tickets[1], tickets[0]])
 
     def test_refusals(self) -> None:
-        """What would come late or over its share is refused at once."""
+        """Calls that would be late or over their limit are refused at once."""
         cases = (
             ('late', full_queue(), 0.001, 'deadline-passed'),
             ('full', full_queue(length=0), 1000, 'queue-full'),
@@ -105,8 +105,8 @@
                 found = answer.code if isinstance(answer, Ending) else None
                 self.assertEqual(found, code)
 
-    def test_over_share_is_told_when_to_come_back(self) -> None:
-        """A full part of the queue refuses with a time that grows with it."""
+    def test_over_share_has_a_retry_time(self) -> None:
+        """A full share of the queue refuses with a time that grows with it."""
         queue = full_queue(length=4)
         queue.submit('large', 0, 1000, 0)
         answers = [queue.submit('small', 0, 1000, 0) for _ in range(3)]
@@ -116,7 +116,7 @@
         self.assertGreater(getattr(refused, 'retry_after_ms', 0), 100)
 
     def test_late_waiters_are_refused_not_run(self) -> None:
-        """A waiter whose deadline has passed gives its slot to the next."""
+        """A waiting call past its deadline leaves its slot to the next."""
         queue = full_queue()
         late = queue.submit('small', 0, 5, 0)
         good = queue.submit('small', 0, 900, 0)
@@ -129,7 +129,7 @@
         )
 
     def test_withdrawn_ticket_is_gone(self) -> None:
-        """A caller that left is not let in."""
+        """A withdrawn call is not admitted."""
         queue = full_queue()
         ticket = queue.submit('small', 0, 900, 0)
         assert isinstance(ticket, Ticket)
@@ -139,10 +139,10 @@
 
 
 class PacedTest(unittest.TestCase):
-    """Slots that come free together are not lent together."""
+    """Slots that become free together are not borrowed together."""
 
     def setUp(self) -> None:
-        """Let the large one take all slots and fill the queue."""
+        """Let "large" take all slots and fill the queue."""
         self.queue = FairQueue(LIMITS, SHARES, BorrowPacer(LIMITS.wait_s))
         self.queue.capacity = 4
         self.queue.submit('small', 0, 1000, 0)
@@ -152,53 +152,53 @@
         self.now = float()
 
     def free(self, count: int) -> list[str]:
-        """End calls and give who is let in at once."""
+        """End calls; give whose calls are admitted at once."""
         for _ in range(count):
             self.queue.release(MEAN_S)
-        return self.let_in()
+        return self.admitted()
 
-    def let_in(self) -> list[str]:
-        """Give who is let in now."""
+    def admitted(self) -> list[str]:
+        """Give whose calls are admitted now."""
         return [
             ticket.organisation
             for ticket, _ in self.queue.pop_admitted(self.now)
         ]
 
     def round(self) -> list[int]:
-        """End all calls; give how many are let in each time until none is."""
+        """End all calls; give how many are admitted each time until none is."""
         self.now += MEAN_S
-        let_in = [len(self.free(self.queue.under_way))]
+        admitted = [len(self.free(self.queue.under_way))]
         while self.queue.resume_at is not None:
             self.now = self.queue.resume_at
-            let_in.append(len(self.let_in()))
-        return let_in
+            admitted.append(len(self.admitted()))
+        return admitted
 
-    def test_slots_are_lent_one_after_another(self) -> None:
-        """All are lent within the time of a call, never two at a time."""
+    def test_slots_are_borrowed_one_after_another(self) -> None:
+        """All are borrowed within the time of a call, never two at a time."""
         for _ in range(4):
             self.round()
         began = self.now + MEAN_S
         self.assertEqual(self.round(), [1] * 4)
         self.assertLess(self.now - began, MEAN_S)
 
-    def test_who_is_within_its_share_waits_for_no_pace(self) -> None:
-        """A slot that is not lent yet is there for it at once."""
+    def test_organisation_within_its_share_is_not_paced(self) -> None:
+        """It gets a slot at once that others may not borrow yet."""
         for _ in range(4):
             self.round()
         self.now += MEAN_S
         self.assertEqual(len(self.free(2)), 1)
         self.assertIsNone(self.queue.submit('small', 0, 1000, self.now))
 
-    def test_no_slot_lies_idle_for_long(self) -> None:
-        """However long calls take, a slot is lent soon."""
+    def test_no_slot_stays_idle_for_long(self) -> None:
+        """However long calls take, a slot may be borrowed soon."""
         pacer = BorrowPacer(1)
         pacer.note_borrowed(0)
         self.assertLessEqual(
             pacer.next_borrow_at(mean_s=1000, slots=4, free=1), 0.1
         )
 
-    def test_nobody_else_no_pace(self) -> None:
-        """An organisation that the shares know alone is never held up."""
+    def test_single_organisation_is_not_paced(self) -> None:
+        """The only organisation with a share is never delayed."""
         self.queue = FairQueue(LIMITS, {'large': 3}, BorrowPacer(LIMITS.wait_s))
         self.queue.capacity = 4
         for _ in range(50):
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""At most once: a key is run by one incarnation, once."""
+"""At most once: a key is run once, by one incarnation."""
 
 import unittest
 
@@ -8,15 +8,15 @@
 
 
 def memory(limit: int = 10) -> KeyMemory:
-    """Give the memory of incarnation 5 on vm-1."""
+    """Give the key memory of incarnation 5 on vm-1."""
     return KeyMemory('vm-1', 5, 10.0, limit, 0)
 
 
 class KeysTest(unittest.TestCase):
-    """What is admitted when."""
+    """Which keys may run."""
 
     def test_round_trip_and_malformed(self) -> None:
-        """A key reads back; anything else is refused."""
+        """A key parses back; anything else is refused."""
         key = Key('vm-1.east', 5, 1, 'n1')
         self.assertEqual(keys.parse(key.text()), key)
         for text in ('', 'x', 'a.b.c.d', 'vm.1.2.', '.1.2.n', 'v' * 300):
@@ -36,7 +36,7 @@
                 self.assertIs(memory().claim(key), KeyDecision.OTHER_OWNER)
 
     def test_forgotten_epoch_is_refused(self) -> None:
-        """What is older than the memory is refused, run or not."""
+        """A key older than the kept epochs is refused, run or not."""
         held = memory()
         held.claim(Key('vm-1', 5, 1, 'n'))
         for now in (10, 20, 30):
@@ -45,20 +45,20 @@
         self.assertIs(held.claim(Key('vm-1', 5, 2, 'n')), KeyDecision.RUN)
 
     def test_future_epoch_is_refused(self) -> None:
-        """A key of an epoch that has not begun is nobody's."""
+        """A key of an epoch that has not begun is refused."""
         self.assertIs(
             memory().claim(Key('vm-1', 5, 9, 'n')), KeyDecision.EXPIRED
         )
 
     def test_full_memory_refuses_new_keys(self) -> None:
-        """A full memory never forgets to make room."""
+        """A full memory drops no key to make room."""
         held = memory(limit=1)
         held.claim(Key('vm-1', 5, 1, 'a'))
         self.assertIs(held.claim(Key('vm-1', 5, 1, 'b')), KeyDecision.FULL)
         self.assertIs(held.claim(Key('vm-1', 5, 1, 'a')), KeyDecision.USED)
 
     def test_replay_of_small_answers_only(self) -> None:
-        """A small answer is given again; a large one is not kept."""
+        """A small answer is sent again; a large one is not kept."""
         held = memory()
         cases = ((10, KeyDecision.REPLAY), (5000, KeyDecision.USED))
         for size, expected in cases:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,7 +1,7 @@
-"""Twice the capacity at two entries in virtual time, one organisation small.
+"""A small organisation beside one that sends twice the capacity.
 
-The entries, their queues and choices and the endpoints' guards are the real
-ones; the engines sleep and the network is memory.
+Two entries with the real queues, routing and endpoint guards run in virtual
+time; the engines sleep and the network is in memory.
 """
 
 import asyncio
@@ -44,7 +44,7 @@
 SLOTS = 8
 SERVICE_S = 0.2
 JITTER = 0.05
-SPAN_S = 30.0
+DURATION_S = 30.0
 DEADLINE_S = 2.0
 QUEUE = QueueLimits(64, 1.0)
 PROBE_S = 0.003
@@ -52,8 +52,8 @@
 SMALL_PER_S = CAPACITY_PER_S * 0.1
 OVERLOAD = 2.0
 SEEDS = (1, 2, 3)
-LEAST_GOODPUT = 0.95
-MOST_RATIO = 1.2
+MIN_GOODPUT = 0.95
+MAX_WAIT_RATIO = 1.2
 BUSY = Code.BUSY.value
 QUERY = EndpointQuery(ENGINE_KIND, model=MODEL)
 DEPLOYMENT = Deployment(
@@ -67,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallResult:
-    """How one call went."""
+    """How a call ended and how long it took."""
 
     organisation: str
     code: str
@@ -75,25 +75,25 @@
 
 
 class Engine:
-    """A back end that takes its time."""
+    """A back end that sleeps for the service time."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
 
     async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
-        """Answer."""
-        span_s = SERVICE_S * self._rng.uniform(1, 1 + JITTER)
+        """Answer after the service time."""
+        service_s = SERVICE_S * self._rng.uniform(1, 1 + JITTER)
         sink.head(200, [], start.version)
-        await asyncio.sleep(span_s)
+        await asyncio.sleep(service_s)
         sink.body(body)
         return ANSWERED
 
     async def cancel(self, call_id: str) -> None:
-        """Finish all the same."""
+        """Ignore the cancellation and finish."""
 
 
 class Endpoint:
-    """The real guard before an engine."""
+    """An engine behind the real guard."""
 
     def __init__(self, number: int, net: MemoryNet, rng: Random) -> None:
         self.vm = f'vm-{number}'
@@ -111,7 +111,7 @@
                 await self.guard.serve(stream, frame)
 
     def member(self) -> Member:
-        """Give what gossip says of it."""
+        """Give its member record."""
         return Member(
             vm=self.vm,
             incarnation=1,
@@ -130,17 +130,17 @@
 
 
 class Answer:
-    """Take an answer in."""
+    """Discard an answer."""
 
     async def head(self, head: Head, key: str) -> None:
-        """Take the head."""
+        """Discard the head."""
 
     async def body(self, piece: bytes) -> None:
-        """Take a piece."""
+        """Discard a piece."""
 
 
 class World:
-    """Two entries before two engines."""
+    """Two entries that send calls to two engines."""
 
     def __init__(self, seed: int) -> None:
         loop = asyncio.get_running_loop()
@@ -155,7 +155,7 @@
         self.entries = [self.entry() for _ in range(ENTRIES)]
 
     def entry(self) -> tuple[Admission, Dispatcher]:
-        """Put an entry together."""
+        """Build an entry."""
         routes = Routes('z', POLICIES['probing'](), self.rng)
         routes.apply_config(DEPLOYMENT)
         routes.entry_count = ENTRIES
@@ -186,9 +186,9 @@
         )
         return gate, dispatcher
 
-    async def play(self, loads: dict[str, float]) -> None:
-        """Send the loads for the span and wait for every ending."""
-        until = self.clock.now() + SPAN_S
+    async def send_loads(self, loads: dict[str, float]) -> None:
+        """Send the loads for DURATION_S seconds; wait for all calls to end."""
+        until = self.clock.now() + DURATION_S
         await asyncio.gather(
             *(self.send(name, rate, until) for name, rate in loads.items()),
         )
@@ -202,20 +202,20 @@
         await asyncio.gather(*calls)
 
     async def call(self, organisation: str) -> None:
-        """Send one call to an entry at random."""
+        """Send one call to a random entry."""
         began = self.clock.now()
         gate, dispatcher = self.rng.choice(self.entries)
         request = AdmissionRequest(MODEL, organisation, began + DEADLINE_S)
         ending = await gate.enter(request)
         if ending is None:
             admitted = self.clock.now()
-            ending = await dispatcher.run(self.made(request), Answer())
+            ending = await dispatcher.run(self.build_call(request), Answer())
             gate.leave(request, self.clock.now() - admitted)
         took_s = self.clock.now() - began
         self.results.append(CallResult(organisation, ending.code, took_s))
 
-    def made(self, request: AdmissionRequest) -> Call:
-        """Give a call."""
+    def build_call(self, request: AdmissionRequest) -> Call:
+        """Build the call of a request."""
         return Call(
             call_id=f'{self.rng.getrandbits(64):016x}',
             query=QUERY,
@@ -230,7 +230,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadResult:
-    """What came of a load."""
+    """Results of a load."""
 
     goodput: float
     small_p95_s: float
@@ -239,7 +239,7 @@
 
 
 def summarise(results: list[CallResult]) -> LoadResult:
-    """Sum up what came of a load."""
+    """Summarise the calls of a load."""
     codes = {
         name: Counter(
             result.code for result in results if result.organisation == name
@@ -253,7 +253,7 @@
     ]
     answered = sum(found[''] for found in codes.values())
     return LoadResult(
-        answered / SPAN_S / CAPACITY_PER_S,
+        answered / DURATION_S / CAPACITY_PER_S,
         percentile(small, 0.95),
         codes[SMALL],
         codes[LARGE],
@@ -261,12 +261,12 @@
 
 
 async def run_loads(seed: int) -> tuple[LoadResult, LoadResult]:
-    """Give what comes of the small one alone, then of both."""
+    """Run the small organisation alone, then both; give both results."""
     world = World(seed)
-    await world.play({SMALL: SMALL_PER_S})
+    await world.send_loads({SMALL: SMALL_PER_S})
     alone = summarise(world.results)
     world.results.clear()
-    await world.play(
+    await world.send_loads(
         {SMALL: SMALL_PER_S, LARGE: CAPACITY_PER_S * OVERLOAD},
     )
     await world.net.close()
@@ -274,37 +274,37 @@
 
 
 class OverloadTest(unittest.TestCase):
-    """A large organisation asks for twice what there is, a small one for less.
+    """A large organisation sends twice the capacity, a small one less.
 
-    The small one asks for half of its share, at random times. Calls take
-    nearly the same time, so that slots which were taken together come free
-    together, and each entry knows only its own calls at once.
+    The small one sends half of its share, at random times. Calls take nearly
+    the same time, so slots that are taken together become free together, and
+    each entry learns only of its own calls without delay.
     """
 
-    plays: tuple[tuple[LoadResult, LoadResult], ...]
+    results: tuple[tuple[LoadResult, LoadResult], ...]
 
     @classmethod
     def setUpClass(cls) -> None:
-        """Play both loads."""
-        cls.plays = tuple(virtual.run(run_loads(seed)) for seed in SEEDS)
+        """Run both loads for each seed."""
+        cls.results = tuple(virtual.run(run_loads(seed)) for seed in SEEDS)
 
     def test_goodput(self) -> None:
-        """Nearly all that the engines can do is done."""
-        found = [both.goodput for _, both in self.plays]
-        self.assertGreaterEqual(min(found), LEAST_GOODPUT, found)
+        """The engines run at nearly their full capacity."""
+        found = [both.goodput for _, both in self.results]
+        self.assertGreaterEqual(min(found), MIN_GOODPUT, found)
 
-    def test_who_is_within_its_share_hardly_waits(self) -> None:
-        """The small one's calls take hardly longer than without the other."""
+    def test_organisation_within_its_share_hardly_waits(self) -> None:
+        """Calls of the small one take hardly longer than without the other."""
         found = [
-            both.small_p95_s / alone.small_p95_s for alone, both in self.plays
+            both.small_p95_s / alone.small_p95_s for alone, both in self.results
         ]
-        self.assertLessEqual(max(found), MOST_RATIO, found)
+        self.assertLessEqual(max(found), MAX_WAIT_RATIO, found)
 
-    def test_who_is_admitted_finds_a_slot(self) -> None:
-        """No call that an entry let in is refused by all endpoints."""
+    def test_admitted_call_finds_a_slot(self) -> None:
+        """No call that an entry admits is refused by all endpoints."""
         found = [
             both.small_codes[BUSY] + both.large_codes[BUSY]
-            for _, both in self.plays
+            for _, both in self.results
         ]
         self.assertEqual(found, [0] * len(SEEDS))
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Calls that are refused because endpoints ended under them."""
+"""Calls that are refused because endpoints crashed under them."""
 
 import unittest
 
@@ -28,8 +28,8 @@
 )
 
 
-class At:
-    """A time that tests set."""
+class FakeClock:
+    """A clock that tests set."""
 
     def __init__(self) -> None:
         self.at = float()
@@ -42,11 +42,11 @@
 
 
 class QuarantineTest(unittest.TestCase):
-    """What is refused, and who is tried."""
+    """Which calls are refused, and which one is the trial."""
 
     def setUp(self) -> None:
         self.crashes = CrashHistory()
-        self.clock = At()
+        self.clock = FakeClock()
         self.verdict: Urgency | Ending = Urgency.IN_TIME
         self.quarantine = Quarantine(
             self.crashes,
@@ -56,21 +56,21 @@
         for incarnation_id in 'ab':
             self.crashes.add(CrashRecord(FINGERPRINT, incarnation_id), 0)
 
-    def test_to_ask_changes_nothing(self) -> None:
-        """Whoever asks twice hears the same."""
-        asked = [self.crashes.refused_for_s(FINGERPRINT, REFUSAL_FIRST_S)]
-        asked.append(self.crashes.refused_for_s(FINGERPRINT, REFUSAL_FIRST_S))
-        self.assertEqual(asked, [0, 0])
+    def test_query_changes_nothing(self) -> None:
+        """Two queries give the same time."""
+        waits = [self.crashes.refused_for_s(FINGERPRINT, REFUSAL_FIRST_S)]
+        waits.append(self.crashes.refused_for_s(FINGERPRINT, REFUSAL_FIRST_S))
+        self.assertEqual(waits, [0, 0])
 
-    def test_one_is_tried(self) -> None:
-        """The next is refused meanwhile."""
+    def test_trial(self) -> None:
+        """Other calls are refused during the trial."""
         self.assertIsInstance(self.quarantine(CALL), Ending)
         self.clock.at = REFUSAL_FIRST_S
         self.assertIs(self.quarantine(CALL), Urgency.IN_TIME)
         self.assertIsInstance(self.quarantine(CALL), Ending)
 
-    def test_one_that_is_refused_elsewhere_was_not_tried(self) -> None:
-        """The next that has a place is."""
+    def test_call_refused_for_another_reason_is_no_trial(self) -> None:
+        """The next call that is admitted is the trial."""
         self.clock.at = REFUSAL_FIRST_S
         self.verdict = not_run(Code.BUSY)
         self.assertIs(self.quarantine(CALL), self.verdict)
--- a/tests/test_shared_ends.py
+++ b/tests/test_shared_ends.py
@@ -1,8 +1,9 @@
-"""Ends of endpoints, shared by entries of three zones, in virtual time.
+"""Crash records shared by entries of three zones, in virtual time.
 
-Load pattern: a call ends three endpoints, each seen by one entry of another
-zone, while the store turns a zone away, entries start, or a zone returns. All
-that reach the store are to know within 3 s of the third end.
+Load pattern: a call crashes three endpoints, each seen by an entry in a
+different zone, while the store refuses a zone, entries start, or a zone
+returns. All entries that reach the store must know the records within 3 s of
+the third crash.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 
 
 def known(entry: RegionEntry) -> set[str]:
-    """Give the keys of ends that an entry holds."""
+    """Give the keys of the crash records that an entry holds."""
     now = asyncio.get_running_loop().time()
     held = entry.follower.mirror.delta_since(0, now).changes
     return {
@@ -26,24 +27,24 @@
 
 
 def write(regions: Regions, *crashes: CrashRecord) -> None:
-    """Write ends, as entries that saw them do."""
+    """Write crash records as the entries do that saw the crashes."""
     for store in regions.stores.values():
         for crash in crashes:
             store.write(b'', crash_key(crash))
 
 
 class SharedCrashesTest(unittest.TestCase):
-    """Write ends, and see who knows them."""
+    """Write crash records and check which entries hold them."""
 
     def assert_known(self, entries: list[RegionEntry]) -> None:
-        """Every one of them knows all ends."""
+        """Check that each of the entries holds all records."""
         keys = {crash_key(crash) for crash in CRASHES}
         for entry in entries:
             with self.subTest(entry=entry.name):
                 self.assertEqual(known(entry), keys)
 
     def test_seen_in_three_zones(self) -> None:
-        """All know all, half a second apart."""
+        """All entries hold all records, written 0.5 s apart."""
 
         async def act(regions: Regions) -> None:
             for crash in CRASHES:
@@ -54,8 +55,8 @@
 
         played(act)
 
-    def test_a_zone_that_the_store_turns_away(self) -> None:
-        """It hears of them from the others."""
+    def test_zone_refused_by_the_store(self) -> None:
+        """Its entries get the records from other zones."""
 
         async def act(regions: Regions) -> None:
             far = regions.stores[ZONES[2]]
@@ -67,8 +68,8 @@
 
         played(act)
 
-    def test_an_entry_that_starts(self) -> None:
-        """It learns them with all the rest."""
+    def test_entry_that_starts(self) -> None:
+        """It gets the records with the rest of the store."""
 
         async def act(regions: Regions) -> None:
             write(regions, *CRASHES)
@@ -80,8 +81,8 @@
 
         played(act)
 
-    def test_a_zone_that_returns(self) -> None:
-        """The store turned it away and nobody was named to it meanwhile."""
+    def test_zone_that_returns(self) -> None:
+        """The store refused it, and it was told of no entries meanwhile."""
 
         async def act(regions: Regions) -> None:
             lost = regions.of(ZONES[1])
