--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -71,7 +71,7 @@
     def __init__(self, *, answered_before: bool) -> None:
         self.answered_before = answered_before
         self.crashed_at: dict[str, float] = {}
-        # Those that stand in the store, where all entries read them.
+        # Incarnations whose record is in the store, where all entries read it.
         self.shared: set[str] = set()
         self.trial_until = float()
 
@@ -83,11 +83,11 @@
     def refused_until(self) -> float:
         crashed_at = sorted(self.crashed_at.values())
         if self.answered_before:
-            since = crashed_at[REFUSE_AFTER_CRASHES - 1]
-            if crashed_at[-1] - since < ANSWER_TRUST_S:
+            refused_since = crashed_at[REFUSE_AFTER_CRASHES - 1]
+            if crashed_at[-1] - refused_since < ANSWER_TRUST_S:
                 return crashed_at[-1] + REFUSAL_ANSWERED_S
-        more = len(crashed_at) - REFUSE_AFTER_CRASHES
-        refused_s = min(REFUSAL_MAX_S, math.ldexp(REFUSAL_FIRST_S, more))
+        doublings = len(crashed_at) - REFUSE_AFTER_CRASHES
+        refused_s = min(REFUSAL_MAX_S, math.ldexp(REFUSAL_FIRST_S, doublings))
         return crashed_at[-1] + refused_s
 
 
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -111,7 +111,7 @@
             return
         listed = self._directory.get(endpoint.endpoint_id)
         if listed is None or not listed.ready:
-            # It announced that it would stop.
+            # The endpoint left or announced its stop beforehand: no crash.
             return
         suspects = self._suspects.setdefault(endpoint.incarnation_id, {})
         if len(suspects) < _MAX_SUSPECTS:
--- a/src/linnetwood/calls/fairness.py
+++ b/src/linnetwood/calls/fairness.py
@@ -181,7 +181,7 @@
         )
 
     def _is_within_share(self, organisation: str) -> bool:
-        """Tell whether it has recently used at most its share."""
+        """Tell whether an organisation recently used at most its share."""
         return (
             self._finish_tags.get(organisation, self._virtual_time)
             <= self._virtual_time
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -106,7 +106,7 @@
                 self.assertEqual(found, code)
 
     def test_over_share_has_a_retry_time(self) -> None:
-        """A full share of the queue refuses with a time that grows with it."""
+        """A full share of the queue refuses; the retry time grows with it."""
         queue = full_queue(length=4)
         queue.submit('large', 0, 1000, 0)
         answers = [queue.submit('small', 0, 1000, 0) for _ in range(3)]
