--- a/src/linnetwood/calls/attempt.py
+++ b/src/linnetwood/calls/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a call at one endpoint."""
+"""Run one attempt of a call at one endpoint."""
 
 import asyncio
 import dataclasses
@@ -22,47 +22,56 @@
 
 
 class AnswerSink(Protocol):
-    """Write an answer to a caller."""
+    """Write one answer to a caller."""
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer that comes in pieces."""
+        """Write the head of a streamed answer."""
 
     def send_piece(self, piece: bytes) -> None:
-        """Write a piece."""
+        """Write a piece of the body of a streamed answer."""
 
     def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete answer: head and body."""
 
     def finish(self) -> None:
-        """End an answer that came in pieces."""
+        """End a streamed answer."""
 
     def abort(self) -> None:
-        """Close without an end, so that the answer can't look whole."""
+        """Close without an end, so that the answer can't look complete."""
 
 
 def _ignore_start() -> None:
-    """Tell nobody."""
+    """Do nothing by default."""
 
 
 def _ignore_notice(notice: Notice) -> None:
-    """Tell nobody."""
+    """Do nothing by default."""
 
 
 class AttemptOutcome(enum.Enum):
-    """Say how an attempt ended."""
+    """How an attempt ended; the values are written to logs and metrics."""
 
     ANSWERED = 'answered'
+    # It is certain that the endpoint did not run the call.
     NOT_RUN = 'not-run'
+    # The endpoint answered with an error of its own.
     FAILED = 'failed'
+    # The connection broke or the answer was invalid; the call may have run.
     LOST = 'lost'
+    # No event arrived within its timeout.
     STALLED = 'stalled'
+    # The deadline of the call passed.
     TIMED_OUT = 'timed-out'
+    # Cancelled because the first event had not arrived by `start_by`.
     WITHDRAWN = 'taken-back'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, and a failure that could be passed on."""
+    """How an attempt ended, with the answer unless it was streamed.
+
+    `reached` says whether the request may have reached the endpoint.
+    """
 
     outcome: AttemptOutcome
     reached: bool
@@ -74,9 +83,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptLimits:
-    """Until when an attempt may last, and how long it may be silent.
+    """When an attempt must end, and how long its stream may be silent.
 
-    Times of the loop's clock; seconds before the first event and the next.
+    `deadline` and `start_by`, the latest time for the first event, are times of
+    the loop's clock. `first_event_s` and `next_event_s` are the longest waits
+    for the first event and between two events, in seconds.
     """
 
     deadline: float
@@ -86,12 +97,12 @@
 
 
 class AnswerStream:
-    """What has gone out to the caller, over all attempts of a call."""
+    """The answer as sent to the caller so far, over all attempts of a call."""
 
     __slots__ = ('begun', 'cutter', 'sink', 'version')
 
     def __init__(self, sink: AnswerSink, resume_after: str) -> None:
-        """Begin before the first byte."""
+        """Start with nothing sent; resume after the given event id, if any."""
         self.sink = sink
         self.begun = False
         self.version = 0
@@ -100,7 +111,7 @@
 
 
 class Attempt:
-    """Take one endpoint's answer in, and pass on what may go out."""
+    """Receive one endpoint's answer, and forward the events that are whole."""
 
     def __init__(
         self,
@@ -111,7 +122,7 @@
         streams: bool,
         clock_now: float,
     ) -> None:
-        """Expect a stream of events, or an answer to pass on whole."""
+        """Expect a stream of events, or an answer to deliver complete."""
         self.last_received_at = clock_now
         self.first_event_at = float()
         self.sent = Sent()
@@ -137,12 +148,13 @@
         req: Request,
         limits: 'AttemptLimits',
     ) -> AttemptResult:
-        """Send the request and see it through to an end."""
+        """Send the request and wait for the result; cancel it on a timeout."""
         transfer = driver.begin(req, self)
         try:
             while not self.fut.done():
                 wait_s = max(0, self._wake_at(limits) - self._loop.time())
-                # Once an event has come it is due sooner than the first was.
+                # The first event shortens the timeout without ending this
+                # wait, so never wait for longer than the shorter one.
                 wait_s = min(wait_s, limits.next_event_s)
                 await asyncio.wait((self.fut,), timeout=wait_s)
                 self._check_timeouts(limits)
@@ -152,7 +164,7 @@
         return self.fut.result()
 
     def head(self, status: int, headers: Headers) -> None:
-        """Judge the head; a stream that is an answer begins to go out."""
+        """Classify the head, and report what it says about the endpoint."""
         self.last_received_at = self._loop.time()
         self._status = status
         self._headers = headers
@@ -162,7 +174,7 @@
             self.on_notice(notice)
 
     def body(self, piece: bytes) -> None:
-        """Pass whole events on; collect everything else."""
+        """Forward whole events; collect the body of any other answer."""
         self.last_received_at = self._loop.time()
         self._size += len(piece)
         if self._is_forwarded:
@@ -173,7 +185,7 @@
             self._pieces.append(piece)
 
     def done(self, finish: Finish) -> None:
-        """Learn how the answer ended."""
+        """Turn the end of the transfer into the result."""
         if not self.fut.done():
             self.fut.set_result(self._result_of(finish))
 
@@ -211,7 +223,7 @@
             )
             return AttemptResult(outcome, finish.connected, detail)
         if self._verdict is Verdict.NOT_RUN:
-            # The head alone says so; the rest of it does not matter.
+            # The head alone is enough; the body does not matter.
             return AttemptResult(
                 AttemptOutcome.NOT_RUN,
                 reached=True,
--- a/src/linnetwood/calls/attemptlog.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -1,4 +1,4 @@
-"""Tell in one log line how an attempt went, and what was believed before it."""
+"""Log and count attempts, with what had been predicted for each of them."""
 
 import dataclasses
 
@@ -14,13 +14,17 @@
 from linnetwood.core.metrics import Metric, Metrics
 
 _MILLISECONDS = 1000
-# What a line says where nothing was heard.
+# Logged in place of a time that is not known.
 _UNKNOWN_MS = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadEstimate:
-    """What was believed of an endpoint when a call went there."""
+    """The estimated load of an endpoint when a call was sent there.
+
+    `waiting` and `running` count calls. `slow_ms` is the delay of the link
+    beyond what is usual.
+    """
 
     waiting: float
     running: int
@@ -30,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SentAttempt:
-    """An attempt as it goes out; the time is one of the loop's clock."""
+    """An attempt at the time it is sent; `sent_at` is of the loop's clock."""
 
     call_id: str
     fingerprint: str
@@ -44,7 +48,7 @@
 
 
 def load_estimate(stats: EndpointStats, now: float) -> LoadEstimate:
-    """Say what is believed of an endpoint."""
+    """Estimate the load of an endpoint from its reports and our own calls."""
     waiting, running = stats.estimate_work(now)
     report = stats.report
     age_ms = _UNKNOWN_MS if report is None else _ms(now - report.received_at)
@@ -58,7 +62,7 @@
     result: AttemptResult,
     metrics: Metrics,
 ) -> None:
-    """Add an attempt to the figures."""
+    """Add an attempt to the metrics."""
     metrics.count(Metric.ATTEMPTS_ENDED, kind=result.outcome.value)
     if sent_attempt.choice.version:
         version = str(sent_attempt.choice.version)
@@ -75,7 +79,7 @@
     result: AttemptResult,
     now: float,
 ) -> None:
-    """Log how an attempt ended, beside what it should have been."""
+    """Log how an attempt ended, with its predictions and targets."""
     first_event_at = attempt.first_event_at
     sent = attempt.sent
     route = sent_attempt.route
@@ -120,7 +124,7 @@
     call_id: str = '',
     rest_s: float = 0,
 ) -> None:
-    """Log what an endpoint says anew of itself, to whichever call."""
+    """Log a change in what an endpoint reports about itself in its answers."""
     log(
         Event.ENDPOINT_NOTICE,
         call=call_id,
@@ -142,7 +146,7 @@
     estimate: LoadEstimate,
     outcome: str,
 ) -> None:
-    """Log what was decided of a call that no endpoint begins in time."""
+    """Log the decision on a call that was not admitted as in time."""
     log(
         Event.ADMISSION_DECIDED,
         call=call_id,
--- a/src/linnetwood/calls/configbasis.py
+++ b/src/linnetwood/calls/configbasis.py
@@ -1,4 +1,4 @@
-"""Say by which configuration a call is decided, and how old that belief is."""
+"""Track which configuration calls are decided by, and how old it is."""
 
 import dataclasses
 import math
@@ -8,24 +8,28 @@
 from linnetwood.core.clock import Clock
 
 _MILLISECONDS = 1000
-# What a line says where nothing was adopted or heard.
+# Logged if no configuration was adopted or the store never answered.
 _UNKNOWN_MS = -1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigBasis:
-    """What a call was decided by; ages in milliseconds, -1 for never."""
+    """The configuration that a call is decided by; ages in milliseconds.
+
+    An age of -1 means that no configuration was adopted yet, or that the store
+    has never answered.
+    """
 
     version: int = 0
     revision: int = 0
     config_age_ms: int = _UNKNOWN_MS
     store_age_ms: int = _UNKNOWN_MS
-    # Older than what a healthy process believes; so is what was never heard.
+    # Not confirmed by the store for longer than the maximum age, or never.
     is_stale: bool = True
 
 
 class ConfigAgeTracker:
-    """Know the configuration in force, and when its store was heard."""
+    """Know the configuration in force and when the store last confirmed it."""
 
     def __init__(
         self,
@@ -33,9 +37,9 @@
         last_answer_at: Callable[[], float],
         max_age_s: float = math.inf,
     ) -> None:
-        """Ask the follower when the store last answered well.
+        """Read from `last_answer_at` when the store last answered correctly.
 
-        What was not confirmed for longer than `trusted_s` is an old belief.
+        A configuration not confirmed for longer than `max_age_s` is stale.
         """
         self._clock = clock
         self._last_answer_at = last_answer_at
@@ -45,13 +49,13 @@
         self._adopted_at = -math.inf
 
     def adopted(self, route_table: RouteTable) -> None:
-        """Note that a configuration is in force from now on."""
+        """Record that a configuration is in force from now on."""
         self._version = route_table.version
         self._revision = route_table.revision
         self._adopted_at = self._clock.now()
 
     def basis(self) -> ConfigBasis:
-        """Give what a call that comes now is decided by."""
+        """Return the basis for calls that arrive now."""
         store_age_s = self.store_age_s()
         return ConfigBasis(
             self._version,
@@ -62,7 +66,7 @@
         )
 
     def store_age_s(self) -> float:
-        """Give the seconds since the store was heard; infinity if never."""
+        """Return the seconds since the store answered; infinity if never."""
         return self._clock.now() - self._last_answer_at()
 
 
--- a/src/linnetwood/calls/dialect.py
+++ b/src/linnetwood/calls/dialect.py
@@ -1,4 +1,4 @@
-"""What calls and answers mean, apart from how they are written."""
+"""The meaning of calls and answers, independent of their header names."""
 
 import dataclasses
 import enum
@@ -9,16 +9,17 @@
 
 
 class Verdict(enum.Enum):
-    """Say what an endpoint's answer to a call is."""
+    """The class of an endpoint's answer to a call."""
 
     ANSWER = 'answer'
     NOT_RUN = 'not-run'
     FAILED = 'failed'
+    # Not an answer to this call, or not from an endpoint of the platform.
     FOREIGN = 'foreign'
 
 
 class Urgency(enum.Enum):
-    """Say which of the calls that wait at an engine go first."""
+    """The priority among calls that wait at an engine."""
 
     IN_TIME = 'in-time'
     LATE = 'late'
@@ -26,7 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallHead:
-    """What a caller's headers say; times in seconds, the prompt in tokens."""
+    """What a caller's headers say; times in seconds, the prompt in tokens.
+
+    `wait_s` is None for a caller that states no deadline.
+    """
 
     call_id: str = ''
     wait_s: float | None = None
@@ -38,7 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingCall:
-    """What an attempt adds to the caller's own headers."""
+    """What an attempt adds to the caller's own headers; times in seconds.
+
+    `version` is the required version of the weights, 0 for any.
+    """
 
     endpoint: str
     remaining_s: float
@@ -49,16 +56,16 @@
 
 
 class Dialect(Protocol):
-    """Read callers and endpoints, and write to them."""
+    """Read headers of callers and endpoints, and write those of attempts."""
 
     def read(self, headers: Headers) -> CallHead:
         """Read a caller's headers."""
 
     def outgoing(self, headers: Headers, call: OutgoingCall) -> Headers:
-        """Give the headers of an attempt."""
+        """Return the headers of an attempt."""
 
     def verdict(self, status: int, headers: Headers, call_id: str) -> Verdict:
-        """Say what an answer's head means."""
+        """Classify an answer by its head."""
 
     def notice(
         self,
@@ -66,10 +73,10 @@
         headers: Headers,
         call_id: str,
     ) -> Notice | None:
-        """Give what an endpoint says of itself; None if it is not its word."""
+        """Return what an endpoint reports of itself; None if not its answer."""
 
     def answer_headers(self, headers: Headers) -> Headers:
-        """Give the headers of an answer that go on to the caller."""
+        """Return the headers of an answer that are forwarded to the caller."""
 
     def version(self, headers: Headers) -> int:
-        """Give the version of the weights that answered; 0 if none is told."""
+        """Return the version of the weights that answered; 0 if not stated."""
