--- a/src/linnetwood/calls/policy/__init__.py
+++ b/src/linnetwood/calls/policy/__init__.py
@@ -1,5 +1,5 @@
-"""The decisions on calls, each behind a protocol, without I/O or a clock.
+"""Policies for decisions on calls, each behind a protocol; no I/O or clock.
 
-Each module has one decision and the ways in which it can be taken; which way is
-taken the settings say (core/options.py, Decisions).
+Each module defines one decision and its alternative policies. The settings
+select the policy (core/options.py, Decisions).
 """
--- a/src/linnetwood/calls/policy/firstattempts.py
+++ b/src/linnetwood/calls/policy/firstattempts.py
@@ -1,11 +1,11 @@
-"""Whether a caller comes for the first time or was sent away before.
-
-Load pattern: more calls than engines take for some seconds, and every caller
-who is refused comes back once. Callers of a kind have the same time in all, of
-which one who comes back has spent a part. It counts as one who comes back where
-that part is longer than its target, so that it is late already. Where callers
-differ in their time, what one says tells nothing: an entry finds that out by
-itself.
+"""Whether a call is a first attempt or the retry of a refused caller.
+
+The detection is for a load pattern: for some seconds more calls arrive than
+engines can run, and every refused caller retries once. Callers of a route have
+the same time in total, of which a retrying caller has spent a part. A call
+counts as a retry if that part is longer than its target, so that it is late
+already. Where callers differ in their total time, the time that they state
+shows nothing; an entry detects this itself.
 """
 
 import dataclasses
@@ -13,26 +13,28 @@
 from types import MappingProxyType
 from typing import Final, Protocol
 
-# Who is refused waits for a fifth of the time that it has, or longer.
+# A refused caller waits for a fifth of its time or longer. Half of that tells
+# it from a first attempt.
 _MIN_SPENT_SHARE = 0.1
-# A route's callers may change what they wait; the longest is forgotten after
-# one to two spans of this.
+# Callers of a route may change their time. The longest time seen is forgotten
+# after one to two of these periods.
 _FORGET_AFTER_S = 30.0
-# Routes whose callers are known; others count as first tries.
+# Routes for which times are stored; calls of others count as first attempts.
 _MAX_ROUTES = 4096
-# Whoever was refused is back or gone after this, by the time that callers have.
+# After this, by the time that callers have, each refused caller has retried or
+# given up.
 _QUIET_AFTER_REFUSAL_S = 5.0
-# Of so many calls at least, no more than this share may say less: some come
-# back because an endpoint failed.
+# Of at least this many calls, no more than the share below may state clearly
+# less than the longest time. Some do, as they retry after an endpoint failed.
 _MIN_COUNTED_CALLS = 20
 _MAX_SHORT_SHARE = 0.05
-# Beyond so many, what was counted is halved: callers may change.
+# Counts are halved at this many calls, since callers may change.
 _MAX_COUNTED_CALLS = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallTraits:
-    """What a caller says that it waits, of its route and the route's target."""
+    """The time that a caller states, with its route and the route's target."""
 
     route: str
     wait_s: float | None
@@ -40,31 +42,32 @@
 
 
 class FirstAttemptDetector(Protocol):
-    """Tell first tries from others by what a caller says that it waits."""
+    """Tell first attempts from retries by the time that a caller states."""
 
     def is_first(self, traits: CallTraits, now: float) -> bool:
-        """Tell whether a caller of a route comes for the first time."""
+        """Tell whether a call is a first attempt."""
 
     def refused(self, now: float) -> None:
-        """Note that somebody was sent away and will come back."""
+        """Record that a caller was refused and will retry."""
 
 
 class AlwaysFirst:
-    """Count every call as a first try."""
+    """Count every call as a first attempt."""
 
     def is_first(self, traits: CallTraits, now: float) -> bool:
-        """Take it for one."""
+        """Return True."""
         return True
 
     def refused(self, now: float) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
 
 class ByRemainingWait:
-    """Count a call as a first try if its caller waits about the longest.
+    """Count a call as a first attempt if its stated time is near the longest.
 
-    While an entry refuses nobody, hardly anybody comes back: whoever says less
-    then shows that callers differ, and all count as first tries.
+    While an entry refuses no calls, hardly any caller retries. If callers state
+    shorter times even then, their times differ, and all calls count as first
+    attempts.
     """
 
     __slots__ = (
@@ -77,7 +80,7 @@
     )
 
     def __init__(self) -> None:
-        """Know no callers."""
+        """Start with no calls counted."""
         self._longest: dict[str, float] = {}
         self._previous_longest: dict[str, float] = {}
         self._rotated_at = float()
@@ -87,13 +90,13 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Tell whether callers were seen to have the same time."""
+        """Tell whether callers of a route were seen to state the same time."""
         if self._counted_calls < _MIN_COUNTED_CALLS:
             return False
         return self._counted_short <= _MAX_SHORT_SHARE * self._counted_calls
 
     def is_first(self, traits: CallTraits, now: float) -> bool:
-        """Tell whether a caller of a route comes for the first time."""
+        """Tell whether a call is a first attempt."""
         if traits.wait_s is None:
             return True
         longest_s = self._longest_of(traits.route, traits.wait_s, now)
@@ -104,7 +107,7 @@
         return not (is_short and self.is_reliable)
 
     def refused(self, now: float) -> None:
-        """Note that somebody was sent away and will come back."""
+        """Record that a caller was refused and will retry."""
         self._refused_at = now
 
     def _longest_of(self, route: str, wait_s: float, now: float) -> float:
--- a/src/linnetwood/calls/policy/retryafter.py
+++ b/src/linnetwood/calls/policy/retryafter.py
@@ -1,10 +1,11 @@
-"""When a refused caller is to come back.
-
-Load pattern: engines take less than what comes for seconds, and callers who are
-refused come back once, within a third of the time that they have left. If all
-are told the same, they come back as one crowd; if they come back early, they
-keep out those who would be in time. The window is sized as in a reconnection
-storm: callers sent away, divided by the rate that is borne.
+"""When a refused caller should retry.
+
+The policies are for a load pattern: for some seconds more calls arrive than
+engines can run, and each refused caller retries once, within a third of the
+time that it has left. If all get the same delay, they retry in one burst; if
+they retry early, they displace calls that would be in time. As in a
+reconnection storm, the window for retries is sized as the number of refused
+callers divided by the rate at which calls are admitted.
 """
 
 import collections
@@ -13,68 +14,68 @@
 from types import MappingProxyType
 from typing import Final, Protocol
 
-# Callers wait for at most this share of the time that they have left (the
-# users' pages).
+# Callers wait for at most this share of the time that they have left, as the
+# platform states.
 _MAX_WAIT_SHARE = 1 / 3
 _MIN_RETRY_AFTER_S = 0.15
-# They come back over the last part of it.
+# `LastPart` spreads retries from this share of that wait to its end.
 _WINDOW_START_SHARE = 0.6
-# Or not before this share of all their time: by what is left they are told from
-# those who come first.
+# `SizedWindow` delays retries by at least this share of the time that is left.
+# The time that remains then tells retrying callers from first attempts.
 _MIN_WAIT_SHARE = 0.12
-# Refusals and admissions are counted over so long.
+# Refusals and admissions are counted over this period.
 _RATE_WINDOW_S = 1.0
 
 
 class RetryAfterPolicy(Protocol):
-    """Say when to come back, by what this entry saw."""
+    """Decide when refused callers retry, by what this entry has seen."""
 
     def admitted(self, now: float) -> None:
-        """Note a call that was taken."""
+        """Count an admitted call."""
 
     def after_s(self, remaining_s: float, now: float) -> float:
-        """Refuse a caller with so much time left; give when it returns."""
+        """Count a refused caller and return its retry delay in seconds."""
 
 
 class LastPart:
-    """Let all come back over the last part of what they wait.
+    """Spread retries over the last part of the longest wait.
 
-    Whoever comes back is late already, since its time counts from its first
-    try; what matters then is that there is room.
+    A retrying caller is late already, since its target counts from its first
+    attempt. So it matters more that capacity is free than that it retries soon.
     """
 
     def __init__(self, rng: Random) -> None:
-        """Draw from a source of chance."""
+        """Draw delays from a random source."""
         self._rng = rng
 
     def admitted(self, now: float) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
     def after_s(self, remaining_s: float, now: float) -> float:
-        """Give a time in the last part."""
+        """Return a random delay in the last part."""
         share = self._rng.uniform(_WINDOW_START_SHARE, 1)
         return max(_MIN_RETRY_AFTER_S, remaining_s * _MAX_WAIT_SHARE * share)
 
 
 class SizedWindow:
-    """Spread callers over the time in which so many are taken.
+    """Spread retries over the time that it takes to admit that many calls.
 
-    Few that are refused come back soon, and many over all that they wait.
+    A few refused callers retry soon, and many over all of the longest wait.
     """
 
     def __init__(self, rng: Random) -> None:
-        """Have seen nobody."""
+        """Start with no calls counted."""
         self._rng = rng
         self._admitted: collections.deque[float] = collections.deque()
         self._refused: collections.deque[float] = collections.deque()
 
     def admitted(self, now: float) -> None:
-        """Note a call that was taken."""
+        """Count an admitted call."""
         self._admitted.append(now)
         _drop_expired(self._admitted, now)
 
     def after_s(self, remaining_s: float, now: float) -> float:
-        """Give a time in a window as long as the refused need to be taken."""
+        """Return a random delay in a window that fits the refused callers."""
         self._refused.append(now)
         _drop_expired(self._refused, now)
         _drop_expired(self._admitted, now)
--- a/src/linnetwood/calls/policy/retrycapacity.py
+++ b/src/linnetwood/calls/policy/retrycapacity.py
@@ -1,44 +1,44 @@
-"""Whether a caller who comes back may have a place at an engine.
+"""Whether a retrying caller may take a slot of an engine.
 
-Load pattern: overload with retries. A caller who comes back is late already, so
-that its answer is worth less than one to a caller who comes first, and both ask
-for the same place. Telephone networks keep overflowing calls from the places of
-fresh ones by trunk reservation: they are taken only while more than a reserve
-is free, so that they are served again as soon as the load falls.
+The policies are for overload with retries. A retrying caller is late already,
+so its answer is worth less than one to a first attempt, and both compete for
+the same slots. Telephone networks solve this by trunk reservation: overflow
+calls are admitted only while more than a reserve is free, so that they are
+served again as soon as the load falls.
 """
 
 import dataclasses
 from types import MappingProxyType
 from typing import Final, Protocol
 
-# The part of an engine's slots that stays free of callers who come back. It
-# covers what all entries send there before its next report; with more, returns
-# are refused beside room when a gap is over.
+# The share of an engine's slots that retrying callers leave free. It covers the
+# calls that all entries send there before the engine's next report. A larger
+# reserve would refuse retrying callers despite free slots when a shortage ends.
 _RESERVE_SHARE = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SlotUsage:
-    """What is taken of the slots of the engine that a call would go to."""
+    """The used and total slots of the engine that a call would be sent to."""
 
     used: float
     slots: int
 
 
 class RetryCapacity(Protocol):
-    """Tell whether callers who come back may have a place."""
+    """Tell whether retrying callers may take a slot."""
 
     def __call__(self, usage: SlotUsage) -> bool:
-        """Tell it by what is taken there."""
+        """Decide by the slots in use."""
 
 
 def same_as_first(usage: SlotUsage) -> bool:
-    """Let them have what first tries may have."""
+    """Treat retrying callers as first attempts."""
     return usage.slots > 0
 
 
 def keep_reserve(usage: SlotUsage) -> bool:
-    """Keep a part of the slots for first tries."""
+    """Keep a share of the slots for first attempts."""
     return usage.used < usage.slots * (1 - _RESERVE_SHARE)
 
 
--- a/src/linnetwood/calls/retries.py
+++ b/src/linnetwood/calls/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether a call may be tried again: only when safe, and budgeted."""
+"""Decide whether a call may be retried: only when safe and within a budget."""
 
 from linnetwood.core.outcomes import Code, Ending, Outcome
 
@@ -11,7 +11,7 @@
 
 
 def may_retry(ending: Ending, *, may_repeat: bool, begun: bool) -> bool:
-    """Tell whether another attempt is safe after one that ended so."""
+    """Tell whether a retry is safe after an attempt with this ending."""
     if begun or ending.code in _FINAL_CODES:
         return False
     if ending.outcome == Outcome.NOT_RUN:
@@ -25,23 +25,23 @@
     def __init__(
         self, share: float = RETRY_SHARE, reserve: float = _RESERVE_RETRIES
     ) -> None:
-        """Start with the whole reserve."""
+        """Start with a full reserve; `share` is retries per first attempt."""
         self._share = share
         self._reserve = reserve
         self._tokens = reserve
 
     def set_limits(self, share: float, reserve: float) -> None:
-        """Follow new bounds; what was saved beyond them is lost."""
+        """Set new limits; drop what was saved beyond the new reserve."""
         self._share = share
         self._reserve = reserve
         self._tokens = min(self._tokens, reserve)
 
     def earn(self) -> None:
-        """Note a first attempt."""
+        """Add the share that a first attempt earns."""
         self._tokens = min(self._reserve, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Take one retry if the budget allows it."""
+        """Take one retry from the budget; tell whether it had one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/src/linnetwood/calls/routetable.py
+++ b/src/linnetwood/calls/routetable.py
@@ -1,4 +1,4 @@
-"""Which service a call goes to, and what is allowed on the way; no I/O."""
+"""Routes, services, limits and API keys of one configuration; no I/O."""
 
 import dataclasses
 import enum
@@ -10,16 +10,17 @@
 
 
 class Repeat(enum.Enum):
-    """Say what may be done with a call a second time."""
+    """Whether a call may be sent a second time."""
 
     MAY = 'may'
     NEVER = 'never'
+    # A stream may go on elsewhere from behind the last event that was sent.
     RESUME = 'resume'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """A service and its part of a route's calls."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
@@ -27,7 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """One route of the configuration; times in seconds."""
+    """One route of the configuration; times in seconds.
+
+    `target_s` is promised for the first event of a stream, `gap_s` for the
+    longest pause between two events.
+    """
 
     name: str
     host: str
@@ -41,26 +46,27 @@
     priority: int
     public: bool
     shares: tuple[Share, ...]
-    # Where it may be served; empty for anywhere.
+    # Regions in which its calls may be served; empty for any.
     regions: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """One service: its connections, and its engines if it has any."""
+    """One service: its connection limit, and its engines if it has any."""
 
     name: str
     connection_limit: int
     engine: EngineProfile | None = None
-    # Calls a second that a cold endpoint bears from all entries; 0 for any.
+    # Limit on calls per second to a cold endpoint from all entries together; 0
+    # for none.
     cold_per_s: float = 0
-    # How long one is cold after its start.
+    # How long an endpoint is cold after its start, in seconds.
     cold_start_s: float = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Origin:
-    """Where weights are read from."""
+    """The store that weights are read from."""
 
     host: str = ''
     port: int = 0
@@ -70,7 +76,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallLimits:
-    """What a caller may send and how long it may take; bytes and seconds."""
+    """Limits on callers: sizes in bytes, times in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -80,17 +86,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """Who holds a key."""
+    """The organisation that holds an API key."""
 
     name: str
     priority: int
-    # Where its calls may be served; empty for anywhere.
+    # Regions in which its calls may be served; empty for any.
     regions: tuple[str, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteTable:
-    """One configuration of routes, services, limits and keys."""
+    """One configuration of routes, services, limits and API keys."""
 
     revision: int = 0
     version: int = 0
@@ -103,7 +109,7 @@
     origin: Origin = Origin()
 
     def find(self, host: str, target: str) -> Route | None:
-        """Give the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path, if any."""
         path = target.partition('?')[0]
         for route in self.by_host.get(host.partition(':')[0].lower(), ()):
             if path.startswith(route.prefix):
@@ -111,12 +117,12 @@
         return None
 
     def organisation(self, key: str) -> Organisation | None:
-        """Give who holds a key."""
+        """Return the organisation that holds a key, if any."""
         return (self.organisations or {}).get(key)
 
 
 def index_by_host(routes: Iterable[Route]) -> dict[str, tuple[Route, ...]]:
-    """Order routes by host, the longest prefixes first."""
+    """Group routes by host in lower case, the longest prefixes first."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host.lower(), []).append(route)
@@ -131,7 +137,7 @@
 
 
 def pick_service(route: Route, chance: float) -> str:
-    """Give the service for a call, by weight; chance runs from 0 to 1."""
+    """Choose a service by weight; `chance` is in [0, 1)."""
     total = sum(share.weight for share in route.shares)
     left = chance * total
     for share in route.shares:
--- a/src/linnetwood/calls/silencetimeouts.py
+++ b/src/linnetwood/calls/silencetimeouts.py
@@ -1,34 +1,42 @@
 """How long a stream may be silent before it is sent elsewhere; no I/O or clock.
 
-Load pattern: lasting overload, first events late by some hundred milliseconds
-everywhere. Whoever takes a call back then and sends it again loads a second
-engine with a prompt that the first has nearly read: on a large fleet at 1.4
-times its capacity, with 1.6 s for all routes, a fifth of the calls were taken
-back so, and most were lost with that. So the time follows the caller's own
-patience, which grows with what the route promises.
+The timeouts are for a load pattern: under lasting overload, first events are
+late by some hundred milliseconds at all endpoints. An entry that then cancels a
+call and sends it again loads a second engine with a prompt that the first one
+has nearly read. On a large fleet at 1.4 times its capacity, with a timeout of
+1.6 s for all routes, a fifth of the calls were cancelled in this way, and most
+of them were lost. The timeouts therefore follow the time after which the caller
+itself gives up, which grows with the targets of the route.
 """
 
 import dataclasses
 
 from linnetwood.calls.routetable import Route
 
-# A caller leaves after the longest of these silences (the users' pages).
+# A caller gives up after the longest of these silences, as the platform states:
+# a minimum, and multiples of the route's target and of its longest gap.
 _CALLER_MIN_TIMEOUT_S = 2.0
 _CALLER_TIMEOUT_TARGETS = 4
 _CALLER_TIMEOUT_GAPS = 8
-# Half of that leaves another endpoint as long as the first one had.
+# Half of that leaves a second endpoint as much time as the first one had.
 _FIRST_EVENT_SHARE = 0.5
-# Of one that was known to wait, all but what a refusal takes to arrive.
+# A call that was known to wait gets all of it, except the time that a refusal
+# needs to arrive.
 _LATE_FIRST_EVENT_SHARE = 0.9
-# Between two events an endpoint is given up after so many of the longest pauses
-# that keep an answer in time: it fell silent, since queues come before.
+# Between two events an endpoint is given up after this multiple of the route's
+# longest gap. It must have failed then, since calls queue only before their
+# first event.
 _NEXT_EVENT_GAPS = 2.5
 _NEXT_EVENT_MIN_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SilenceTimeouts:
-    """The silences after which a stream is sent elsewhere, in seconds."""
+    """The silences after which a stream is sent elsewhere, in seconds.
+
+    `late_first_event_s` replaces `first_event_s` for calls that were expected
+    to wait.
+    """
 
     first_event_s: float
     late_first_event_s: float
@@ -36,7 +44,7 @@
 
     @classmethod
     def for_route(cls, route: Route) -> 'SilenceTimeouts':
-        """Work them out for a route."""
+        """Compute the timeouts of a route."""
         caller_timeout_s = max(
             _CALLER_MIN_TIMEOUT_S,
             _CALLER_TIMEOUT_TARGETS * route.target_s,
