--- a/src/linnetwood/calls/callparsing.py
+++ b/src/linnetwood/calls/callparsing.py
@@ -1,4 +1,4 @@
-"""Turn a request that arrived into a call, or say why it is none; no I/O."""
+"""Turn an HTTP request into a call, or into a refusal; no I/O."""
 
 import dataclasses
 from random import Random
@@ -17,13 +17,16 @@
 from linnetwood.core.outcomes import Code, Ending, not_run
 from linnetwood.wire.curldriver import Headers
 
-# A caller that names no deadline is held no longer than this.
+# The longest wait for callers that state no deadline.
 _DEFAULT_WAIT_LIMIT_S = 30.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IncomingRequest:
-    """One request as it was read, when, and what it is decided by."""
+    """A complete request, and the configuration that it is decided by.
+
+    `arrived_at` is a time of the loop's clock.
+    """
 
     method: str
     target: str
@@ -39,7 +42,10 @@
     dialect: Dialect,
     rng: Random,
 ) -> DirectCall | Ending:
-    """Find the route, the organisation and the service of a request."""
+    """Find the route, the organisation and the service of a request.
+
+    Return the ending of the call if one of them is missing or not allowed.
+    """
     if not route_table.revision:
         return not_run(Code.NOT_SERVING, 'no configuration yet')
     route = route_table.find(requested_host(incoming.headers), incoming.target)
@@ -91,12 +97,12 @@
 
 
 def wait_limit_s(head: CallHead) -> float:
-    """Give the seconds that a caller waits for its answer."""
+    """Return the seconds that a caller waits for its answer."""
     return _DEFAULT_WAIT_LIMIT_S if head.wait_s is None else head.wait_s
 
 
 def requested_host(headers: Headers) -> str:
-    """Give the host that a request names, or nothing."""
+    """Return the host that a request names, or an empty string."""
     for name, text in headers:
         if name.lower() == 'host':
             return text
--- a/src/linnetwood/calls/deadlineadmission.py
+++ b/src/linnetwood/calls/deadlineadmission.py
@@ -1,4 +1,4 @@
-"""Decide at the door whether a call can be in time; refuse at once if not."""
+"""Decide at admission whether a call can be in time; refuse it if not."""
 
 import dataclasses
 from typing import Protocol
@@ -23,19 +23,19 @@
 from linnetwood.core.outcomes import Code, Ending, not_run
 
 _MILLISECONDS = 1000
-# So many slots of an engine are left to calls that will be in time.
+# Slots of an engine that late calls leave to calls that will be in time.
 _RESERVED_SLOTS = 1
 
 
 class RequirementsSource(Protocol):
-    """Say what calls ask of endpoints."""
+    """State what calls require of endpoints."""
 
     def requirements(self, call: DirectCall) -> Requirements:
-        """Say it for one call."""
+        """Return the requirements of one call."""
 
 
 class DeadlineAdmission:
-    """Admit calls that can be in time, and late ones that keep out nobody."""
+    """Admit calls that can be in time, and late calls that displace none."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         first_attempts: FirstAttemptDetector | None = None,
         retry_capacity: RetryCapacity = same_as_first,
     ) -> None:
-        """Predict by the chooser's view."""
+        """Predict waits by what the chooser knows about endpoints."""
         self._first_attempts = first_attempts or AlwaysFirst()
         self._retry_capacity = retry_capacity
         self._chooser = chooser
@@ -55,7 +55,7 @@
         self._retry_after = retry_after
 
     def __call__(self, call: DirectCall) -> Urgency | Ending:
-        """Give how urgent the call is, or why it is refused."""
+        """Return the urgency if the call is admitted, else its ending."""
         if call.service.engine is None:
             return Urgency.IN_TIME
         now = self._clock.now()
@@ -85,7 +85,7 @@
         return self._refusal(Code.OVERLOADED, call, detail)
 
     def _has_retry_capacity(self, service: Service, choice: Choice) -> bool:
-        """Tell whether a caller who comes back keeps out no first try."""
+        """Tell whether a retrying caller may take a slot."""
         if service.engine is None:
             return True
         stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
@@ -93,10 +93,10 @@
         return self._retry_capacity(SlotUsage(used_slots, service.engine.slots))
 
     def _has_room_for_late(self, requirements: Requirements) -> bool:
-        """Tell whether a late call would take nobody's place.
+        """Tell whether a late call would displace no call that is in time.
 
-        A slot must be free: late calls that fill the last ones keep out those
-        that come first and would be in time.
+        A slot must stay free: late calls that fill the last slots would keep
+        out first attempts that would be in time.
         """
         now = self._clock.now()
         requirements = dataclasses.replace(requirements, urgent=False)
@@ -133,7 +133,7 @@
         detail: str,
         min_s: float = 0,
     ) -> Ending:
-        """Refuse, and say when to come back: not before there is room."""
+        """Refuse, with a retry delay of at least `min_s` seconds."""
         now = self._clock.now()
         self._first_attempts.refused(now)
         after_s = self._retry_after.after_s(call.deadline - now, now)
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -1,4 +1,4 @@
-"""Run a call straight at endpoints that have no process of ours in front."""
+"""Run calls at engines and services directly, without a proxy in front."""
 
 import asyncio
 import dataclasses
@@ -50,20 +50,23 @@
 )
 from linnetwood.wire.curldriver import CurlDriver, Headers, Request
 
-# A handshake takes two delays of a few milliseconds; a lost packet is sent
-# again after a second, so a try elsewhere comes sooner.
+# A handshake takes two delays of a few milliseconds. A lost packet is resent
+# only after a second, so trying another endpoint is faster.
 CONNECT_TIMEOUT_S = 0.4
-# Below this nothing can be answered any more.
+# With less time left no call can be answered.
 _MIN_REMAINING_S = 0.02
 _RETRY_AFTER_MS = 200
 _MILLISECONDS = 1000
-# So long a call has there, on any way, before it is taken back.
+# Time that a call has at its endpoint, over any link, before it is withdrawn.
 _MIN_TIME_TO_BEGIN_S = SEND_MARGIN_S - START_MARGIN_S
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DirectCall:
-    """A call that is to be run at an endpoint of a service."""
+    """A call to be run at an endpoint of a service.
+
+    `arrived_at` and `deadline` are times of the loop's clock.
+    """
 
     head: CallHead
     route: Route
@@ -77,29 +80,29 @@
     deadline: float
     config_basis: ConfigBasis = ConfigBasis()
     region_scope: RegionScope = ANY_REGION
-    # What it shares with calls that ask the same; nothing where unknown.
+    # Equal for calls that ask for the same; empty where unknown.
     fingerprint: str = ''
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether it may run more than once."""
+        """Tell whether the call may run more than once."""
         return self.route.repeat is not Repeat.NEVER
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """What this entry may send again: a share of its calls, and a reserve."""
+    """Limits on retries of this entry: a share of its calls, and a reserve."""
 
     share: float = RETRY_SHARE
     reserve: float = 4
 
 
 def _ignore_notice(one: Endpoint, now: float) -> None:
-    """Keep to itself what an endpoint says."""
+    """Do nothing by default."""
 
 
 class DirectDispatcher:
-    """Run calls: choose, send, and send again where that is safe."""
+    """Run calls: choose endpoints, send, and retry where that is safe."""
 
     def __init__(
         self,
@@ -111,10 +114,10 @@
         metrics: Metrics,
         lateness: Callable[[], Lateness] = MeanLateness,
     ) -> None:
-        """Use the given parts; know no retry budgets yet."""
+        """Start without any retry budget."""
         self.retry_limits = RetryLimits()
         self.crash_observer: CrashObserver = NoCrashWatch()
-        # Told of each endpoint that has said something of itself just now.
+        # Called when an endpoint has just reported something in an answer.
         self.on_notice: Callable[[Endpoint, float], None] = _ignore_notice
         self._budgets: dict[str, RetryBudget] = {}
         self._new_lateness = lateness
@@ -128,7 +131,7 @@
         self._loop = asyncio.get_running_loop()
 
     def requirements(self, call: DirectCall) -> Requirements:
-        """Say what the call asks of an endpoint."""
+        """Return what the call requires of an endpoint."""
         model = call.head.model if call.service.engine else ''
         return Requirements(
             call.service,
@@ -150,14 +153,14 @@
         caller: AnswerSink,
         urgency: Urgency = Urgency.IN_TIME,
     ) -> Ending:
-        """Run the call; the caller has its answer unless the ending says no."""
+        """Run the call; the answer has been sent if the ending is ANSWERED."""
         answer = AnswerStream(caller, call.head.resume_after)
         history = _AttemptHistory()
         budget = self._retry_budget(call.service.name)
         budget.earn()
         while True:
             now = self._loop.time()
-            # One answer comes of one version, also when it is resumed.
+            # An answer comes from one version, also when it is resumed.
             requirements = dataclasses.replace(
                 self.requirements(call),
                 exact_version=answer.version,
@@ -179,7 +182,7 @@
             answer.cutter.drop_half()
 
     def _max_wait_s(self, call: DirectCall) -> float:
-        """Give the wait that may be predicted for a call that is in time."""
+        """Return the longest predicted wait with which a call is in time."""
         target_s = call.route.target_s
         lateness = self._lateness_of(call.service.name)
         return target_s - lateness.margin_s(target_s, self._loop.time())
@@ -195,7 +198,7 @@
         limits = self.retry_limits
         budget = self._budgets.get(service)
         if budget is None:
-            # A process that starts anew must not spend its part twice.
+            # A restarted process must not spend its whole reserve twice.
             budget = RetryBudget(limits.share, limits.reserve / 2)
             self._budgets[service] = budget
         budget.set_limits(limits.share, limits.reserve)
@@ -316,7 +319,7 @@
             start_by = self._wanted.start_deadline(
                 call.head.model, choice.version
             )
-            # What takes it back must arrive before the bound as well.
+            # The cancellation must arrive before the bound as well.
             stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
             start_by -= stats.extra_link_delay_s(self._loop.time())
         if not call.route.streams or call.route.repeat is not Repeat.RESUME:
@@ -324,7 +327,7 @@
         timeouts = SilenceTimeouts.for_route(call.route)
         first_event_s = timeouts.first_event_s
         if urgency is Urgency.LATE or choice.wait_s > first_event_s / 2:
-            # It was known to wait; another endpoint would not be sooner.
+            # The call was expected to wait; another endpoint is no faster.
             first_event_s = timeouts.late_first_event_s
         return AttemptLimits(
             call.deadline, start_by, first_event_s, timeouts.next_event_s
@@ -333,7 +336,7 @@
     def _has_time_to_begin(
         self, choice: Choice, limits: AttemptLimits, now: float
     ) -> bool:
-        """Tell whether it has time there before it is taken back."""
+        """Tell whether the call has time at the endpoint before its bound."""
         slow_s = self._chooser.stats_of(
             choice.endpoint.incarnation_id
         ).extra_link_delay_s(now)
@@ -351,7 +354,7 @@
         self._update_lateness(call, sent_attempt)
 
     def _on_notice(self, sent_attempt: SentAttempt, notice: Notice) -> None:
-        """Take in what an endpoint says of itself, as soon as its head came."""
+        """Apply what the head of an answer reports about its endpoint."""
         one = sent_attempt.choice.endpoint
         now = self._loop.time()
         notices = self._chooser.notices
@@ -372,7 +375,7 @@
     def _update_lateness(
         self, call: DirectCall, sent_attempt: SentAttempt
     ) -> None:
-        """Compare how long an admitted call waited with what was predicted."""
+        """Compare the wait of an admitted call with its prediction."""
         if call.service.engine is None or sent_attempt.urgency is Urgency.LATE:
             return
         now = self._loop.time()
@@ -408,7 +411,7 @@
         attempt: Attempt,
         result: AttemptResult,
     ) -> None:
-        """Say what an attempt shows of calls that may end endpoints."""
+        """Report whether the endpoint survived the call, which may crash it."""
         if result.outcome is AttemptOutcome.LOST:
             since_first_event_s = float()
             if attempt.first_event_at:
@@ -417,7 +420,7 @@
                 call.fingerprint, choice.endpoint, since_first_event_s
             )
         elif result.outcome in {AttemptOutcome.ANSWERED, AttemptOutcome.FAILED}:
-            # An endpoint that says so has outlived the call.
+            # The endpoint answered, so the call did not crash it.
             self.crash_observer.note_answered(call.fingerprint)
 
     def _may_retry(
@@ -467,7 +470,7 @@
 
 
 class _WaitingCount:
-    """Count a call among those that wait at an endpoint until it begins."""
+    """Count a call as waiting at an endpoint until it begins."""
 
     __slots__ = ('_stats', '_urgency')
 
@@ -490,7 +493,7 @@
 
 
 class _AttemptHistory:
-    """What the attempts of one call came to."""
+    """The attempts of one call so far."""
 
     __slots__ = ('may_have_run', 'reached', 'tried')
 
@@ -508,7 +511,11 @@
     def no_endpoint(
         self, answer: AnswerStream, rate_limited_s: float
     ) -> Ending:
-        """End a call that no endpoint takes, or none before some seconds."""
+        """End a call for which no endpoint is available.
+
+        `limited_s` is how long rate limits rule out all endpoints, 0 if they
+        don't.
+        """
         ending = self.ending(answer, Code.NO_ENDPOINT)
         if ending.outcome is not Outcome.NOT_RUN or not rate_limited_s:
             return ending
--- a/src/linnetwood/calls/frontend.py
+++ b/src/linnetwood/calls/frontend.py
@@ -1,4 +1,4 @@
-"""What callers reach over HTTP at an entry that passes calls straight on."""
+"""The HTTP server for callers of an entry that dispatches calls directly."""
 
 import asyncio
 from collections.abc import Callable
@@ -41,9 +41,9 @@
 _TIMED_OUT = 504
 _BAD_REQUEST = 400
 _MILLISECONDS = 1000
-# Another entry can be asked at once.
+# For calls that another entry can take at once.
 _RETRY_ELSEWHERE_MS = 100
-# What a caller wrote is cut to so many characters in a log line.
+# Values from callers are cut to this length in log lines.
 _MAX_LOGGED_CHARS = 120
 _REASONS = MappingProxyType(
     {
@@ -63,19 +63,19 @@
         Code.BAD_REQUEST.value: _BAD_REQUEST,
     },
 )
-# Refusals that a newer configuration might not have given.
+# Refusals that a newer configuration might turn into answers.
 _UNPLACED_CODES = frozenset((Code.UNKNOWN_TARGET.value, Code.KEY_UNKNOWN.value))
 
 
 class AdmissionCheck(Protocol):
-    """Decide whether a call is taken now."""
+    """Decide whether a call is admitted now."""
 
     def __call__(self, call: DirectCall) -> Urgency | Ending:
-        """Give how urgent the call is, or why it is not taken."""
+        """Return the urgency if the call is admitted, else its ending."""
 
 
 class Frontend(HTTPServerConnectionDelegate):
-    """Accept callers' connections and run their calls."""
+    """Accept connections of callers and run their calls."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         metrics: Metrics,
         config_basis: Callable[[], ConfigBasis] = ConfigBasis,
     ) -> None:
-        """Serve by whatever configuration is in force when a call comes."""
+        """Use the configuration that is in force when a call arrives."""
         self.route_table = route_table
         self.dispatcher = dispatcher
         self.dialect = dialect
@@ -96,7 +96,7 @@
         self.metrics = metrics
         self.config_basis = config_basis
         self.stopping = False
-        # Calls that come from now on may not finish before the process ends.
+        # True once a new call may not finish before the process ends.
         self.leaving = False
         self.active_calls = 0
         self.unused_connections: dict[object, _Request] = {}
@@ -106,23 +106,23 @@
         server_conn: object,
         request_conn: HTTPConnection,
     ) -> HTTPMessageDelegate:
-        """Begin to read one request."""
+        """Start reading one request."""
         req = _Request(self, server_conn, request_conn)
         self.unused_connections[server_conn] = req
         return req
 
     def close_idle(self) -> None:
-        """Close the connections on which no request has begun."""
+        """Close the connections on which no request has arrived yet."""
         for req in list(self.unused_connections.values()):
             req.close()
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection that closed while no request was read on it."""
+        """Forget a connection that closed before a request arrived on it."""
         self.unused_connections.pop(server_conn, None)
 
 
 class _Request(HTTPMessageDelegate):
-    """Read one request, run it and write its answer."""
+    """Read one request, run the call and write its answer."""
 
     def __init__(
         self,
@@ -145,7 +145,7 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Keep the head."""
+        """Store the head."""
         self._frontend.unused_connections.pop(self._server_conn, None)
         assert isinstance(start_line, RequestStartLine)
         self._line = start_line
@@ -153,21 +153,22 @@
         self._arrived_at = asyncio.get_running_loop().time()
 
     def data_received(self, chunk: bytes) -> None:
-        """Keep a piece of the body."""
+        """Store a piece of the body."""
         self._pieces.append(chunk)
 
     def finish(self) -> None:
-        """Run the call that has been read whole."""
+        """Run the call once the request is complete."""
         if _http1(self._conn).stream.closed():
-            # It crossed our close: nobody would hear the answer.
+            # The request crossed our close; no one would receive an answer.
             return
         self._frontend.active_calls += 1
         self._task = asyncio.create_task(self._run())
-        # Without this the library tells of a departure only while it reads.
+        # Without this the library reports a closed connection only while it
+        # reads.
         _http1(self._conn).set_close_callback(self.on_connection_close)
 
     def on_connection_close(self) -> None:
-        """Stop the work that nobody waits for."""
+        """Cancel the call, since its caller has left."""
         if self._task is not None:
             self._task.cancel()
 
@@ -197,7 +198,7 @@
 
     async def _answer(self, writer: 'AnswerWriter') -> Ending:
         if self._frontend.leaving:
-            # It came on a connection that an answer begun before had kept.
+            # It arrived on a connection that an earlier answer kept open.
             return not_run(Code.STOPPING, '', _RETRY_ELSEWHERE_MS)
         call = self._read()
         if isinstance(call, Ending):
@@ -254,30 +255,30 @@
     """Write one answer on a caller's connection."""
 
     def __init__(self, conn: HTTPConnection, frontend: Frontend) -> None:
-        """Begin with nothing written."""
+        """Start with nothing written."""
         self.begun = False
         self._conn = conn
         self._frontend = frontend
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Write the head of an answer that comes in pieces."""
+        """Write the head of a streamed answer."""
         self._head(status, headers, None, b'')
 
     def send_piece(self, piece: bytes) -> None:
-        """Write a piece; a caller that reads slowly is not waited for."""
+        """Write a piece without waiting for a caller that reads slowly."""
         _ignore_failed_write(self._conn.write(piece))
 
     def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         self._head(status, headers, len(body), body)
         self._conn.finish()
 
     def finish(self) -> None:
-        """End an answer that came in pieces."""
+        """End a streamed answer."""
         self._conn.finish()
 
     def abort(self) -> None:
-        """Reset the connection, so that the answer can't look whole."""
+        """Close the connection, so that the answer can't look complete."""
         _http1(self._conn).stream.close()
 
     def _head(
@@ -313,7 +314,7 @@
 def _refuse_unplaced(
     incoming: IncomingRequest, ending: Ending, frontend: Frontend
 ) -> Ending:
-    """Refuse for good, or for now where the belief is old."""
+    """Refuse finally, or with a retry delay if the configuration is stale."""
     head = frontend.dialect.read(incoming.headers)
     reason = _unplaced_reason(ending, head)
     if not incoming.config_basis.is_stale:
@@ -351,7 +352,7 @@
         event,
         call=head.call_id[:_MAX_LOGGED_CHARS],
         host=requested_host(incoming.headers)[:_MAX_LOGGED_CHARS],
-        # A query may hold what is nobody else's business.
+        # The query is left out, since it may hold private data.
         path=incoming.target.partition('?')[0][:_MAX_LOGGED_CHARS],
         config_version=config_basis.version,
         config_revision=config_basis.revision,
@@ -362,7 +363,7 @@
 
 
 def refuse(writer: AnswerWriter, ending: Ending) -> None:
-    """Tell the caller at once how a call without an answer ended."""
+    """Answer a call that has no answer with a status for its ending."""
     if ending.outcome is Outcome.NOT_RUN:
         status = _STATUSES.get(ending.code, _UNAVAILABLE)
     else:
@@ -376,19 +377,19 @@
 
 
 class FrontendServer(HTTPServer):
-    """Tell the front of closed connections, and bound what callers send."""
+    """Report closed connections to the frontend, and limit requests."""
 
     def on_close(self, server_conn: object) -> None:
-        """Hear of a connection that closed; the library keeps quiet of it."""
+        """Pass on a close, which the library doesn't report to the callback."""
         super().on_close(server_conn)
         callback = self.request_callback
         if isinstance(callback, Frontend):
             callback.on_close(server_conn)
 
     def set_limits(self, limits: CallLimits) -> None:
-        """Put other limits in force.
+        """Apply new limits.
 
-        The call that an open connection waits for is read by the old ones.
+        The next request on an open connection is still read with the old ones.
         """
         of_conn = self.conn_params
         of_conn.max_header_size = limits.header_bytes
@@ -398,7 +399,7 @@
 
 
 def open_server(frontend: Frontend, limits: CallLimits) -> FrontendServer:
-    """Give the HTTP server for a front, bounded by the configuration."""
+    """Return the HTTP server for a frontend, with the configured limits."""
     return FrontendServer(
         frontend,
         max_header_size=limits.header_bytes,
@@ -409,7 +410,7 @@
 
 
 def _body_timeout_s(limits: CallLimits) -> float:
-    # The configuration states a time for the head alone; a body has twice that.
+    # The configuration limits the time for the head; a body gets twice that.
     return limits.header_s * 2
 
 
