--- a/src/linnetwood/calls/attemptlog.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -119,7 +119,7 @@
 
 
 def log_notice(
-    one: Endpoint,
+    endpoint: Endpoint,
     notice: Notice,
     call_id: str = '',
     rest_s: float = 0,
@@ -128,9 +128,9 @@
     log(
         Event.ENDPOINT_NOTICE,
         call=call_id,
-        endpoint=one.endpoint_id,
-        born=one.born,
-        service=one.service,
+        endpoint=endpoint.endpoint_id,
+        born=endpoint.born,
+        service=endpoint.service,
         limit_per_s=notice.limit_per_s,
         leaving=notice.leaving,
         rest_s=rest_s,
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -97,7 +97,7 @@
     reserve: float = 4
 
 
-def _ignore_notice(one: Endpoint, now: float) -> None:
+def _ignore_notice(endpoint: Endpoint, now: float) -> None:
     """Do nothing by default."""
 
 
@@ -355,13 +355,13 @@
 
     def _on_notice(self, sent_attempt: SentAttempt, notice: Notice) -> None:
         """Apply what the head of an answer reports about its endpoint."""
-        one = sent_attempt.choice.endpoint
+        endpoint = sent_attempt.choice.endpoint
         now = self._loop.time()
         notices = self._chooser.notices
-        if notices.record(one.incarnation_id, notice, now):
-            known = notices.latest(one.incarnation_id)
-            log_notice(one, known, sent_attempt.call_id, notice.retry_after_s)
-        self.on_notice(one, now)
+        if notices.record(endpoint.incarnation_id, notice, now):
+            known = notices.latest(endpoint.incarnation_id)
+            log_notice(endpoint, known, sent_attempt.call_id, notice.retry_after_s)
+        self.on_notice(endpoint, now)
 
     def _note_begun(self, sent_attempt: SentAttempt) -> None:
         stats = self._chooser.stats_of(
--- a/src/linnetwood/calls/frontend.py
+++ b/src/linnetwood/calls/frontend.py
@@ -133,7 +133,7 @@
         self._frontend = frontend
         self._server_conn = server_conn
         self._conn = conn
-        self._line: RequestStartLine | None = None
+        self._start_line: RequestStartLine | None = None
         self._headers: Headers = []
         self._pieces: list[bytes] = []
         self._task: asyncio.Task[None] | None = None
@@ -148,7 +148,7 @@
         """Store the head."""
         self._frontend.unused_connections.pop(self._server_conn, None)
         assert isinstance(start_line, RequestStartLine)
-        self._line = start_line
+        self._start_line = start_line
         self._headers = list(headers.get_all())
         self._arrived_at = asyncio.get_running_loop().time()
 
@@ -231,7 +231,7 @@
         return ending
 
     def _read(self) -> DirectCall | Ending:
-        start_line = self._line
+        start_line = self._start_line
         if start_line is None:
             return not_run(Code.BAD_REQUEST, 'no request line')
         frontend = self._frontend
@@ -266,7 +266,7 @@
 
     def send_piece(self, piece: bytes) -> None:
         """Write a piece without waiting for a caller that reads slowly."""
-        _ignore_failed_write(self._conn.write(piece))
+        _write_in_background(self._conn.write(piece))
 
     def send_whole(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete answer."""
@@ -301,7 +301,7 @@
             status,
             _REASONS.get(status, 'Answer'),
         )
-        _ignore_failed_write(
+        _write_in_background(
             self._conn.write_headers(start_line, fields, body or None)
         )
 
@@ -391,11 +391,11 @@
 
         The next request on an open connection is still read with the old ones.
         """
-        of_conn = self.conn_params
-        of_conn.max_header_size = limits.header_bytes
-        of_conn.max_body_size = limits.body_bytes
-        of_conn.header_timeout = limits.idle_s
-        of_conn.body_timeout = _body_timeout_s(limits)
+        conn_params = self.conn_params
+        conn_params.max_header_size = limits.header_bytes
+        conn_params.max_body_size = limits.body_bytes
+        conn_params.header_timeout = limits.idle_s
+        conn_params.body_timeout = _body_timeout_s(limits)
 
 
 def open_server(frontend: Frontend, limits: CallLimits) -> FrontendServer:
@@ -414,7 +414,7 @@
     return limits.header_s * 2
 
 
-def _ignore_failed_write(fut: 'asyncio.Future[None]') -> None:
+def _write_in_background(fut: 'asyncio.Future[None]') -> None:
     fut.add_done_callback(_log_failed_write)
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -29,7 +29,7 @@
 from linnetwood.weights.takeover import TAKEOVERS
 from linnetwood.weights.versionplan import PLANS
 
-WAYS = {
+POLICIES = {
     'first_tries': FIRST_ATTEMPT_DETECTORS,
     'return_room': RETRY_CAPACITY,
     'returns': RETRY_AFTER_POLICIES,
@@ -50,13 +50,13 @@
 
     def test_every_way_has_a_name_and_every_name_a_way(self) -> None:
         """Nothing is allowed that can't be had, and the other way round."""
-        fields = {one.name: one for one in dataclasses.fields(Decisions)}
-        self.assertEqual(fields.keys(), WAYS.keys())
-        for name, ways in WAYS.items():
+        fields = {field.name: field for field in dataclasses.fields(Decisions)}
+        self.assertEqual(fields.keys(), POLICIES.keys())
+        for name, policies in POLICIES.items():
             with self.subTest(decision=name):
                 allowed = fields[name].metadata['allowed']
-                self.assertEqual(set(allowed), set(ways))
-                self.assertGreaterEqual(len(ways), 2)
+                self.assertEqual(set(allowed), set(policies))
+                self.assertGreaterEqual(len(policies), 2)
 
     def test_without_a_file(self) -> None:
         """The ways that were best."""
@@ -93,7 +93,7 @@
                 self.assertEqual(caught.exception.code, code)
 
 
-class ReturnsTest(unittest.TestCase):
+class RetryAfterTest(unittest.TestCase):
     """When refused callers come back."""
 
     def test_nobody_is_told_to_wait_too_long(self) -> None:
@@ -135,81 +135,82 @@
     return CallTraits(route, wait_s, target_s)
 
 
-class FirstTriesTest(unittest.TestCase):
+class FirstAttemptTest(unittest.TestCase):
     """Who comes for the first time, by what callers say that they wait."""
 
     def setUp(self) -> None:
-        self.tries = ByRemainingWait()
+        self.detector = ByRemainingWait()
         for number in range(20):
             self.assertTrue(
-                self.tries.is_first(traits('r', 6 + number / 100), 0)
+                self.detector.is_first(traits('r', 6 + number / 100), 0)
             )
 
     def test_who_was_refused_has_less_time(self) -> None:
         """A fifth of it at least; others differ by little."""
-        self.tries.refused(1)
-        self.assertTrue(self.tries.is_first(traits('r', 6.0), 1))
-        self.assertFalse(self.tries.is_first(traits('r', 4.8), 2))
-        self.assertFalse(self.tries.is_first(traits('r', 4.1), 2))
+        self.detector.refused(1)
+        self.assertTrue(self.detector.is_first(traits('r', 6.0), 1))
+        self.assertFalse(self.detector.is_first(traits('r', 4.8), 2))
+        self.assertFalse(self.detector.is_first(traits('r', 4.1), 2))
 
     def test_who_may_still_be_in_time(self) -> None:
         """It counts as a first try, also where it has waited."""
-        self.tries.refused(1)
-        self.assertTrue(self.tries.is_first(traits('r', 4.8, 2), 2))
-        self.assertFalse(self.tries.is_first(traits('r', 4.1, 1.5), 2))
+        self.detector.refused(1)
+        self.assertTrue(self.detector.is_first(traits('r', 4.8, 2), 2))
+        self.assertFalse(self.detector.is_first(traits('r', 4.1, 1.5), 2))
 
     def test_routes_differ(self) -> None:
         """Each has callers of its own."""
-        self.assertTrue(self.tries.is_first(traits('s', 1.5), 0))
-        self.assertFalse(self.tries.is_first(traits('r', 1.5), 0))
+        self.assertTrue(self.detector.is_first(traits('s', 1.5), 0))
+        self.assertFalse(self.detector.is_first(traits('r', 1.5), 0))
 
     def test_nothing_is_said(self) -> None:
         """Then nobody is put behind."""
-        self.assertTrue(self.tries.is_first(traits('r', None), 0))
+        self.assertTrue(self.detector.is_first(traits('r', None), 0))
 
     def test_nobody_is_known_yet(self) -> None:
         """All are alike until enough were seen."""
-        tries = ByRemainingWait()
-        tries.is_first(traits('r', 6), 0)
-        self.assertTrue(tries.is_first(traits('r', 3), 0))
+        detector = ByRemainingWait()
+        detector.is_first(traits('r', 6), 0)
+        self.assertTrue(detector.is_first(traits('r', 3), 0))
 
     def test_callers_that_differ(self) -> None:
         """The way does not fit, and is left by itself."""
-        tries = ByRemainingWait()
+        detector = ByRemainingWait()
         rng = Random(1)
         waits = [rng.uniform(2, 6) for _ in range(200)]
-        found = [tries.is_first(traits('r', wait_s), 0) for wait_s in waits]
+        found = [detector.is_first(traits('r', wait_s), 0) for wait_s in waits]
         self.assertTrue(all(found[40:]))
-        tries.refused(1)
-        self.assertTrue(tries.is_first(traits('r', 2), 1))
+        detector.refused(1)
+        self.assertTrue(detector.is_first(traits('r', 2), 1))
 
     def test_returns_don_t_count_against_it(self) -> None:
         """Those who come back after a refusal are what it is for."""
-        self.tries.refused(10)
-        found = [self.tries.is_first(traits('r', 4), 11) for _ in range(100)]
+        self.detector.refused(10)
+        found = [self.detector.is_first(traits('r', 4), 11) for _ in range(100)]
         self.assertFalse(any(found))
-        self.assertTrue(self.tries.is_reliable)
+        self.assertTrue(self.detector.is_reliable)
 
     def test_callers_that_wait_less_from_now_on(self) -> None:
         """What they waited before is forgotten."""
         found = [
-            self.tries.is_first(traits('r', 3), at) for at in range(1, 100, 5)
+            self.detector.is_first(traits('r', 3), at)
+            for at in range(1, 100, 5)
         ]
         self.assertTrue(found[-1])
 
     def test_memory_is_bounded(self) -> None:
         """Routes beyond a number are not told apart."""
         for number in range(10000):
-            self.tries.is_first(traits(f'r{number}', 6), 0)
-        self.assertLessEqual(len(self.tries._longest), 4096)
-        self.assertTrue(self.tries.is_first(traits('r9999', 1), 0))
+            self.detector.is_first(traits(f'r{number}', 6), 0)
+        self.assertLessEqual(len(self.detector._longest), 4096)
+        self.assertTrue(self.detector.is_first(traits('r9999', 1), 0))
 
     def test_all_alike(self) -> None:
         """The other way tells nobody apart."""
         self.assertTrue(AlwaysFirst().is_first(traits('r', 0.1), 0))
 
 
-class ReturnRoomTest(unittest.TestCase):
+class RetryCapacityTest(unittest.TestCase):
     """Which places callers who come back may have."""
 
     def test_as_first(self) -> None:
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -35,7 +35,7 @@
 FAILED = answer(f'500 Bad\r\n{SIGNED}', b'oops')
 
 
-class Heard(AnswerSink):
+class RecordingSink(AnswerSink):
     """A caller that keeps what it is sent."""
 
     def __init__(self) -> None:
@@ -65,13 +65,13 @@
 
 def events(*numbers: int) -> bytes:
     """Give whole events."""
-    return b''.join(b'id: %d\ndata: x\n\n' % one for one in numbers)
+    return b''.join(b'id: %d\ndata: x\n\n' % number for number in numbers)
 
 
 def stream(*parts: bytes, ends: bool = True) -> bytes:
     """Give a chunked stream; without an end it is broken off."""
     head = f'HTTP/1.1 200 OK\r\n{SIGNED}Transfer-Encoding: chunked\r\n\r\n'
-    chunks = b''.join(b'%x\r\n%s\r\n' % (len(one), one) for one in parts)
+    chunks = b''.join(b'%x\r\n%s\r\n' % (len(part), part) for part in parts)
     end = b'0\r\n\r\n' if ends else b''
     return head.encode() + chunks + end
 
@@ -118,7 +118,7 @@
         streams: bool = False,
         attempts: int = 2,
         wait_s: float = 20,
-    ) -> tuple[Ending, Heard]:
+    ) -> tuple[Ending, RecordingSink]:
         """Run one call."""
         route = Route(
             'r',
@@ -147,8 +147,8 @@
             now,
             now + wait_s,
         )
-        heard = Heard()
-        return await self.dispatcher.run(call, heard), heard
+        sink = RecordingSink()
+        return await self.dispatcher.run(call, sink), sink
 
     def runs(self) -> int:
         """Count what reached any endpoint."""
@@ -175,10 +175,10 @@
                 await self.asyncTearDown()
                 await self.asyncSetUp()
                 await self.serve(first, says(GOOD))
-                ending, heard = await self.call(Repeat.NEVER)
+                ending, sink = await self.call(Repeat.NEVER)
                 self.assertEqual((ending.outcome, self.runs()), (outcome, runs))
                 if outcome is Outcome.UNKNOWN:
-                    self.assertEqual(heard.received, b'')
+                    self.assertEqual(sink.received, b'')
 
     async def test_unknown_stays_unknown_across_lives(self) -> None:
         """An endpoint that starts again under its id is sent nothing twice."""
@@ -213,16 +213,16 @@
                 await self.asyncTearDown()
                 await self.asyncSetUp()
                 await self.serve(first, says(GOOD))
-                ending, heard = await self.call(Repeat.MAY)
+                ending, sink = await self.call(Repeat.MAY)
                 self.assertEqual(ending.outcome, Outcome.ANSWERED)
-                self.assertEqual((heard.status, heard.received), (200, b'fine'))
+                self.assertEqual((sink.status, sink.received), (200, b'fine'))
 
     async def test_no_more_endpoints_than_the_route_allows(self) -> None:
         """The last failure of an endpoint goes to the caller as it is."""
         await self.serve(says(FAILED), says(FAILED), says(GOOD))
-        ending, heard = await self.call(Repeat.MAY)
+        ending, sink = await self.call(Repeat.MAY)
         self.assertEqual(ending.outcome, Outcome.ANSWERED)
-        self.assertEqual((heard.status, heard.received), (500, b'oops'))
+        self.assertEqual((sink.status, sink.received), (500, b'oops'))
         self.assertEqual(self.runs(), 2)
 
     async def test_refused_everywhere_is_not_run(self) -> None:
@@ -248,21 +248,19 @@
         """No event is missing, doubled or halved, and one answer holds all."""
         first = stream(events(0, 1), b'id: 2\nda', ends=False)
         await self.serve(says(first), says(stream(events(2, 3))))
-        ending, heard = await self.call(Repeat.RESUME, streams=True)
+        ending, sink = await self.call(Repeat.RESUME, streams=True)
         self.assertEqual(ending.outcome, Outcome.ANSWERED)
-        self.assertEqual(heard.received, events(0, 1, 2, 3))
-        self.assertEqual(heard.ended, 'whole')
+        self.assertEqual(sink.received, events(0, 1, 2, 3))
+        self.assertEqual(sink.ended, 'whole')
         self.assertIn(b'Last-Event-Id: 1\r\n', self.servers[1].requests[0])
 
     async def test_stream_that_may_not_be_resumed_is_cut(self) -> None:
         """What was broken off must not look whole."""
         first = stream(events(0, 1), ends=False)
         await self.serve(says(first), says(stream(events(2, 3))))
-        ending, heard = await self.call(Repeat.NEVER, streams=True)
+        ending, sink = await self.call(Repeat.NEVER, streams=True)
         self.assertEqual(ending.outcome, Outcome.UNKNOWN)
-        self.assertEqual(
-            (heard.received, heard.ended), (events(0, 1), 'aborted')
-        )
+        self.assertEqual((sink.received, sink.ended), (events(0, 1), 'aborted'))
         self.assertEqual(self.runs(), 1)
 
     async def test_key_is_not_shown_and_the_organisation_is_set(self) -> None:
--- a/tests/test_entrance.py
+++ b/tests/test_entrance.py
@@ -30,12 +30,12 @@
     public=True,
     shares=(Share('pool', 1),),
 )
-FIRST_TRY_S = 6.0
+FIRST_ATTEMPT_WAIT_S = 6.0
 # What is left to a caller who was refused and waited for a fourth of that.
-RETURN_S = 4.5
+RETRY_WAIT_S = 4.5
 
 
-class FixedClock:
+class StoppedClock:
     """A clock that stands still."""
 
     def now(self) -> float:
@@ -45,7 +45,7 @@
         return 0
 
 
-class Needs:
+class FixedRequirements:
     """Stand in for the dispatcher: every call needs the same."""
 
     def requirements(self, call: DirectCall) -> Requirements:
@@ -71,7 +71,7 @@
     )
 
 
-class EntranceTest(unittest.TestCase):
+class DeadlineAdmissionTest(unittest.TestCase):
     """Offer calls to engines with more or less to do."""
 
     def setUp(self) -> None:
@@ -80,22 +80,22 @@
         directory.update(listed('i-1'))
         self.admission = DeadlineAdmission(
             self.chooser,
-            Needs(),
-            FixedClock(),
+            FixedRequirements(),
+            StoppedClock(),
             LastPart(Random(1)),
         )
-        self.admission(call(FIRST_TRY_S))
+        self.admission(call(FIRST_ATTEMPT_WAIT_S))
 
-    def offered(self, waiting: int, running: int) -> str:
+    def decide(self, waiting: int, running: int) -> str:
         """Say what becomes of a call at an engine with so much to do."""
-        word = report(waiting, running, 10)
-        self.chooser.stats_of('i-1').record_report(word)
-        found = self.admission(call(FIRST_TRY_S))
-        if isinstance(found, Ending):
-            self.assertIs(found.outcome, Outcome.NOT_RUN)
-            self.assertGreater(found.retry_after_ms, 0)
+        engine_report = report(waiting, running, 10)
+        self.chooser.stats_of('i-1').record_report(engine_report)
+        decision = self.admission(call(FIRST_ATTEMPT_WAIT_S))
+        if isinstance(decision, Ending):
+            self.assertIs(decision.outcome, Outcome.NOT_RUN)
+            self.assertGreater(decision.retry_after_ms, 0)
             return 'refused'
-        return found.value
+        return decision.value
 
     def test_late_calls_take_nobody_s_place(self) -> None:
         """What will be late is taken where a slot is free, else refused."""
@@ -108,17 +108,19 @@
         )
         for name, waiting, running, expected in cases:
             with self.subTest(name=name):
-                self.assertEqual(self.offered(waiting, running), expected)
+                self.assertEqual(self.decide(waiting, running), expected)
 
     def test_callers_come_back_late_and_not_at_once(self) -> None:
         """They wait for a third of their time at most, and differ."""
         self.chooser.stats_of('i-1').record_report(report(9, 16, 10))
         waits = []
         for _ in range(50):
-            found = self.admission(call(FIRST_TRY_S))
-            assert isinstance(found, Ending)
-            waits.append(found.retry_after_ms)
-        left_ms = (call(FIRST_TRY_S).deadline - FixedClock().now()) * 1000
+            decision = self.admission(call(FIRST_ATTEMPT_WAIT_S))
+            assert isinstance(decision, Ending)
+            waits.append(decision.retry_after_ms)
+        left_ms = (
+            call(FIRST_ATTEMPT_WAIT_S).deadline - StoppedClock().now()
+        ) * 1000
         self.assertLessEqual(max(waits), left_ms / 3)
         self.assertGreaterEqual(min(waits), int(left_ms / 3 * 0.6))
         self.assertGreater(max(waits) - min(waits), left_ms / 3 * 0.3)
@@ -127,30 +129,30 @@
         """Only engines tell enough to predict by."""
         desk = Service('desk', 10)
         self.assertIs(
-            self.admission(call(FIRST_TRY_S, desk)),
+            self.admission(call(FIRST_ATTEMPT_WAIT_S, desk)),
             Urgency.IN_TIME,
         )
 
     def test_no_endpoint_is_a_refusal(self) -> None:
         """Nothing can run where nobody serves."""
-        nobody = DeadlineAdmission(
+        empty = DeadlineAdmission(
             Chooser(Directory(), Random(1)),
-            Needs(),
-            FixedClock(),
+            FixedRequirements(),
+            StoppedClock(),
             LastPart(Random(1)),
         )
-        found = nobody(call(FIRST_TRY_S))
-        assert isinstance(found, Ending)
-        self.assertEqual(found.code, 'no-endpoint')
+        decision = empty(call(FIRST_ATTEMPT_WAIT_S))
+        assert isinstance(decision, Ending)
+        self.assertEqual(decision.code, 'no-endpoint')
 
     def test_choice_is_the_chooser_s(self) -> None:
         """The prediction comes of the endpoint that would be taken."""
-        found = self.chooser.choose(Requirements(POOL, 'z1', 1000, 'm'), (), 10)
-        assert isinstance(found, Choice)
-        self.assertGreater(found.wait_s, 0)
+        choice = self.chooser.choose(Requirements(POOL, 'z1', 1000, 'm'), (), 10)
+        assert isinstance(choice, Choice)
+        self.assertGreater(choice.wait_s, 0)
 
 
-class ReturningTest(unittest.TestCase):
+class RetryingCallerTest(unittest.TestCase):
     """Offer first tries and returns to an engine with more or less to do."""
 
     def setUp(self) -> None:
@@ -159,22 +161,24 @@
         directory.update(listed('i-1'))
         self.admission = DeadlineAdmission(
             self.chooser,
-            Needs(),
-            FixedClock(),
+            FixedRequirements(),
+            StoppedClock(),
             LastPart(Random(1)),
             ByRemainingWait(),
             keep_reserve,
         )
-        self.offer(0, 0, *(FIRST_TRY_S for _ in range(100)))
+        self.decide_each(0, 0, *(FIRST_ATTEMPT_WAIT_S for _ in range(100)))
 
-    def offer(self, waiting: int, running: int, *waits: float) -> list[str]:
+    def decide_each(
+        self, waiting: int, running: int, *waits: float
+    ) -> list[str]:
         """Say what becomes of calls at an engine with so much to do."""
-        word = report(waiting, running, 10)
-        self.chooser.stats_of('i-1').record_report(word)
-        found = [self.admission(call(wait_s)) for wait_s in waits]
+        engine_report = report(waiting, running, 10)
+        self.chooser.stats_of('i-1').record_report(engine_report)
+        decisions = [self.admission(call(wait_s)) for wait_s in waits]
         return [
-            one.detail if isinstance(one, Ending) else one.value
-            for one in found
+            decision.detail if isinstance(decision, Ending) else decision.value
+            for decision in decisions
         ]
 
     def test_first_tries_have_the_last_places(self) -> None:
@@ -187,22 +191,24 @@
         )
         for name, waiting, running, first, again in cases:
             with self.subTest(name=name):
-                found = self.offer(waiting, running, FIRST_TRY_S, RETURN_S)
-                self.assertEqual(found, [first, again])
+                decisions = self.decide_each(
+                    waiting, running, FIRST_ATTEMPT_WAIT_S, RETRY_WAIT_S
+                )
+                self.assertEqual(decisions, [first, again])
 
     def test_refused_returns_may_come_again(self) -> None:
         """They are told when, within a third of what they have left."""
         self.chooser.stats_of('i-1').record_report(report(0, 12, 10))
-        found = self.admission(call(RETURN_S))
-        assert isinstance(found, Ending)
-        self.assertIs(found.outcome, Outcome.NOT_RUN)
-        self.assertGreater(found.retry_after_ms, 0)
+        decision = self.admission(call(RETRY_WAIT_S))
+        assert isinstance(decision, Ending)
+        self.assertIs(decision.outcome, Outcome.NOT_RUN)
+        self.assertGreater(decision.retry_after_ms, 0)
 
     def test_plain_services_take_returns(self) -> None:
         """Only engines tell enough to keep places."""
         desk = Service('desk', 10)
-        found = self.admission(call(RETURN_S, desk))
-        self.assertIs(found, Urgency.IN_TIME)
+        decision = self.admission(call(RETRY_WAIT_S, desk))
+        self.assertIs(decision, Urgency.IN_TIME)
 
 
 if __name__ == '__main__':
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -67,7 +67,7 @@
 )
 
 
-UNPLACED = (
+UNPLACED_KEYS = (
     'call',
     'host',
     'path',
@@ -77,7 +77,7 @@
     'config_age_ms',
     'store_age_ms',
 )
-PUT_OFF = ('event', 'detail', 'retry_after_ms', *UNPLACED)
+REFUSED_KEYS = ('event', 'detail', 'retry_after_ms', *UNPLACED_KEYS)
 
 
 def request(path: str, key: str = 'k1', host: str = 'h.example') -> bytes:
@@ -95,7 +95,7 @@
     return '\r\n'.join(lines).encode()
 
 
-class StillClock:
+class ManualClock:
     """A clock that stands until it is set."""
 
     def __init__(self) -> None:
@@ -108,12 +108,12 @@
         return self.at
 
 
-class FrontTest(unittest.IsolatedAsyncioTestCase):
+class FrontendTest(unittest.IsolatedAsyncioTestCase):
     """Speak to a front over sockets."""
 
     async def asyncSetUp(self) -> None:
         self.route_table = ROUTE_TABLE
-        self.heard_at = -math.inf
+        self.store_answered_at = -math.inf
         self.directory = Directory()
         chooser = Chooser(self.directory, Random(1))
         self.driver = CurlDriver()
@@ -133,8 +133,10 @@
             SystemClock(),
             LastPart(Random(1)),
         )
-        self.clock = StillClock()
-        self.config_age = ConfigAgeTracker(self.clock, lambda: self.heard_at)
+        self.clock = ManualClock()
+        self.config_age = ConfigAgeTracker(
+            self.clock, lambda: self.store_answered_at
+        )
         self.frontend = Frontend(
             lambda: self.route_table,
             dispatcher,
@@ -148,31 +150,31 @@
         sockets = bind_sockets(0, HOST)
         self.server.add_sockets(sockets)
         self.port = int(sockets[0].getsockname()[1])
-        self.back: list[Server] = []
+        self.endpoints: list[Server] = []
 
     async def asyncTearDown(self) -> None:
         self.server.stop()
         await self.server.close_all_connections()
         self.driver.close()
-        for one in self.back:
-            await one.close()
+        for server in self.endpoints:
+            await server.close()
 
     async def serve(self, behave: Behaviour) -> Server:
         """Start the one endpoint."""
         server = Server(behave)
-        self.back.append(server)
+        self.endpoints.append(server)
         port = await server.start()
         self.directory.update(
             Endpoint('i-1', 'desk', HOST, port, 'z1', 6, ready=True),
         )
         return server
 
-    async def ask(self, *requests: bytes) -> list[tuple[int, bytes, bytes]]:
+    async def send(self, *requests: bytes) -> list[tuple[int, bytes, bytes]]:
         """Send requests on one connection; give status, head and body."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         answers = []
-        for one in requests:
-            writer.write(one)
+        for raw in requests:
+            writer.write(raw)
             head = await reader.readuntil(b'\r\n\r\n')
             size = 0
             for line in head.lower().split(b'\r\n'):
@@ -193,36 +195,38 @@
             ('full', request('/a/x'), says(FULL), 503),
             ('may have run', request('/a/x'), reset, 502),
         )
-        for name, asked, behave, expected in cases:
+        for name, sent_request, behave, expected in cases:
             with self.subTest(name=name):
                 await self.serve(behave)
-                status, head, _ = (await self.ask(asked))[0]
+                status, head, _ = (await self.send(sent_request))[0]
                 self.assertEqual(status, expected)
                 self.assertEqual(b'Retry-After' in head, status == 503)
 
-    def trust(self, trusted_s: float) -> None:
+    def set_max_age(self, max_age_s: float) -> None:
         """Believe for so long after the store was heard, from 100 s on."""
         config_age = ConfigAgeTracker(
-            self.clock, lambda: self.heard_at, trusted_s
+            self.clock, lambda: self.store_answered_at, max_age_s
         )
         config_age.adopted(ROUTE_TABLE)
         self.frontend.config_basis = config_age.basis
 
-    async def refused(self, asked: bytes) -> list[dict[str, object]]:
+    async def unplaced_lines(
+        self, sent_request: bytes
+    ) -> list[dict[str, object]]:
         """Send a request; give what the log tells of its place."""
-        with self.assertLogs('linnetwood', 'INFO') as told:
+        with self.assertLogs('linnetwood', 'INFO') as captured:
             log(Event.STARTED)
-            await self.ask(asked)
+            await self.send(sent_request)
         return [
-            {name: getattr(one, name, None) for name in UNPLACED}
-            for one in told.records
-            if getattr(one, 'event', 0) == Event.CALL_UNPLACED
+            {name: getattr(record, name, None) for name in UNPLACED_KEYS}
+            for record in captured.records
+            if getattr(record, 'event', 0) == Event.CALL_UNPLACED
         ]
 
     async def test_refusals_tell_how_old_the_belief_was(self) -> None:
         """Each says why, by which configuration, and how old that is."""
         self.config_age.adopted(ROUTE_TABLE)
-        self.heard_at = 102.5
+        self.store_answered_at = 102.5
         self.clock.at = 110.0
         keyless = request('/a/x').replace(b'Authorization', b'X-Other')
         cases = (
@@ -231,18 +235,18 @@
             ('key', request('/a/x', 'k2'), 'h.example', '/a/x', 'unknown-key'),
             ('no key', keyless, 'h.example', '/a/x', 'no-key'),
         )
-        for name, asked, *expected in cases:
+        for name, sent_request, *expected in cases:
             with self.subTest(name=name):
-                told = ('c-1', *expected, 1, 1, 10000, 7500)
+                values = ('c-1', *expected, 1, 1, 10000, 7500)
                 self.assertEqual(
-                    await self.refused(asked),
-                    [dict(zip(UNPLACED, told, strict=True))],
+                    await self.unplaced_lines(sent_request),
+                    [dict(zip(UNPLACED_KEYS, values, strict=True))],
                 )
 
     async def test_an_old_belief_refuses_for_now(self) -> None:
         """Callers are told to come back, and the log why and how old it was."""
-        self.trust(1.2)
-        self.heard_at = 102.5
+        self.set_max_age(1.2)
+        self.store_answered_at = 102.5
         self.clock.at = 103.75
         keyless = request('/a/x').replace(b'Authorization', b'X-Other')
         cases = (
@@ -251,21 +255,21 @@
             ('unknown-key', request('/a/x', 'k2'), 'h.example', '/a/x'),
             ('no-key', keyless, 'h.example', '/a/x'),
         )
-        for why, asked, host, path in cases:
+        for why, sent_request, host, path in cases:
             with self.subTest(why=why, host=host):
-                with self.assertLogs('linnetwood', 'INFO') as told:
-                    status, head, body = (await self.ask(asked))[0]
+                with self.assertLogs('linnetwood', 'INFO') as captured:
+                    status, head, body = (await self.send(sent_request))[0]
                 self.assertEqual((status, body), (503, b'belief-old'))
                 # A third of 15 s at most, and the last two fifths of that.
                 after_s = head.partition(b'Retry-After: ')[2].split()[0]
                 after_ms = round(float(after_s) * 1000)
                 self.assertIn(after_ms, range(2900, 5001))
                 lines = [
-                    {name: getattr(one, name, None) for name in PUT_OFF}
-                    for one in told.records
+                    {name: getattr(record, name, None) for name in REFUSED_KEYS}
+                    for record in captured.records
                 ]
                 self.assertEqual(
-                    [tuple(one.values()) for one in lines],
+                    [tuple(line.values()) for line in lines],
                     [
                         (
                             *(Event.CALL_REFUSED, why, after_ms),
@@ -278,45 +282,47 @@
 
     async def test_a_belief_within_its_time_refuses_for_good(self) -> None:
         """What was confirmed a moment ago is told as it is."""
-        self.trust(1.2)
-        self.heard_at = 102.5
+        self.set_max_age(1.2)
+        self.store_answered_at = 102.5
         self.clock.at = 103.5
-        asked = (request('/b/x'), request('/a/x', 'k2'))
-        answers = await self.ask(*asked)
-        self.assertEqual([one[0] for one in answers], [404, 401])
-        self.assertEqual(len(await self.refused(asked[0])), 1)
+        sent_requests = (request('/b/x'), request('/a/x', 'k2'))
+        answers = await self.send(*sent_requests)
+        self.assertEqual([answer[0] for answer in answers], [404, 401])
+        self.assertEqual(len(await self.unplaced_lines(sent_requests[0])), 1)
 
     async def test_known_routes_are_served_on_an_old_belief(self) -> None:
         """A zone that is cut off serves what it can."""
-        self.trust(1.2)
+        self.set_max_age(1.2)
         self.clock.at = 200.0
         await self.serve(says(GOOD))
         self.assertTrue(self.frontend.config_basis().is_stale)
-        self.assertEqual((await self.ask(request('/a/x')))[0][0], 200)
+        self.assertEqual((await self.send(request('/a/x')))[0][0], 200)
 
     async def test_what_callers_wrote_is_cut(self) -> None:
         """A line stays short, and says of a store never heard that it isn't."""
         long = 'x' * 2000
-        asked = request(f'/{long}', host=long).replace(b'c-1', long.encode())
-        told = (await self.refused(asked))[0]
+        sent_request = request(f'/{long}', host=long).replace(
+            b'c-1', long.encode()
+        )
+        line = (await self.unplaced_lines(sent_request))[0]
         for name in ('call', 'host', 'path'):
-            self.assertEqual(len(str(told[name])), 120)
-        ages = (told['config_age_ms'], told['store_age_ms'])
+            self.assertEqual(len(str(line[name])), 120)
+        ages = (line['config_age_ms'], line['store_age_ms'])
         self.assertEqual(ages, (-1, -1))
 
     async def test_other_endings_tell_no_place(self) -> None:
         """Answers, and refusals that no configuration changes, add no line."""
         await self.serve(says(GOOD))
-        self.assertEqual(await self.refused(request('/a/x')), [])
+        self.assertEqual(await self.unplaced_lines(request('/a/x')), [])
         self.route_table = RouteTable()
-        self.assertEqual(await self.refused(request('/a/x')), [])
+        self.assertEqual(await self.unplaced_lines(request('/a/x')), [])
 
     async def test_calls_tell_by_which_configuration_they_were_read(
         self,
     ) -> None:
         """Of a call that outlasts its configuration the old one is told."""
         self.config_age.adopted(ROUTE_TABLE)
-        self.heard_at = 99.0
+        self.store_answered_at = 99.0
         self.clock.at = 101.0
 
         async def adopt(
@@ -329,12 +335,12 @@
             await writer.drain()
 
         await self.serve(adopt)
-        with self.assertLogs('linnetwood', 'INFO') as told:
-            await self.ask(request('/a/x'))
+        with self.assertLogs('linnetwood', 'INFO') as captured:
+            await self.send(request('/a/x'))
         lines = [
-            [getattr(one, name, None) for name in UNPLACED[4:]]
-            for one in told.records
-            if getattr(one, 'event', 0) == Event.ATTEMPT_ENDED
+            [getattr(record, name, None) for name in UNPLACED_KEYS[4:]]
+            for record in captured.records
+            if getattr(record, 'event', 0) == Event.ATTEMPT_ENDED
         ]
         self.assertEqual(lines, [[1, None, 1000, 2000]])
         self.assertEqual(self.frontend.config_basis().version, 2)
@@ -342,15 +348,15 @@
     async def test_no_configuration_yet(self) -> None:
         """A process that knows none says so, not that there is no route."""
         self.route_table = RouteTable()
-        self.assertEqual((await self.ask(request('/a/x')))[0][0], 503)
+        self.assertEqual((await self.send(request('/a/x')))[0][0], 503)
 
     async def test_limits_of_a_newer_configuration(self) -> None:
         """They hold on a connection that was open before, too."""
         await self.serve(says(GOOD))
         plain = request('/a/x')
         long = plain.replace(b'\r\n', b'\r\nX-Fill: ' + b'f' * 900 + b'\r\n', 1)
-        answers = await self.ask(plain, long)
-        self.assertEqual([one[0] for one in answers], [200, 200])
+        answers = await self.send(plain, long)
+        self.assertEqual([answer[0] for answer in answers], [200, 200])
         self.server.set_limits(CallLimits(header_bytes=600))
         reader, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(plain)
@@ -362,19 +368,19 @@
         self.assertEqual(rest.count(b'HTTP/1.1 200'), 1)
         writer.close()
         self.server.set_limits(CallLimits())
-        self.assertEqual((await self.ask(long))[0][0], 200)
+        self.assertEqual((await self.send(long))[0][0], 200)
 
     async def test_kept_connection_serves_several(self) -> None:
         """One connection carries calls one after the other."""
         await self.serve(says(GOOD))
-        answers = await self.ask(request('/a/x'), request('/a/y'))
-        self.assertEqual([one[0] for one in answers], [200, 200])
+        answers = await self.send(request('/a/x'), request('/a/y'))
+        self.assertEqual([answer[0] for answer in answers], [200, 200])
 
     async def test_answers_of_a_stopping_process_close(self) -> None:
         """Callers are sent elsewhere with their last answer."""
         await self.serve(says(GOOD))
         self.frontend.stopping = True
-        _, head, body = (await self.ask(request('/a/x')))[0]
+        _, head, body = (await self.send(request('/a/x')))[0]
         self.assertIn(b'Connection: close', head)
         self.assertEqual(body, b'fine')
 
@@ -382,14 +388,14 @@
         self,
     ) -> None:
         """What may not finish before the process ends is not begun."""
-        back = await self.serve(says(GOOD))
+        endpoint = await self.serve(says(GOOD))
         self.frontend.stopping = True
         self.frontend.leaving = True
-        status, head, _ = (await self.ask(request('/a/x')))[0]
+        status, head, _ = (await self.send(request('/a/x')))[0]
         self.assertEqual(status, 503)
         self.assertIn(b'Connection: close', head)
         self.assertIn(b'Retry-After: 0.1', head)
-        self.assertEqual(back.requests, [])
+        self.assertEqual(endpoint.requests, [])
 
     async def test_idle_connections_are_closed_busy_ones_are_not(self) -> None:
         """A stop cuts off no call."""
@@ -403,10 +409,10 @@
             writer.write(GOOD)
             await writer.drain()
 
-        back = await self.serve(wait)
+        endpoint = await self.serve(wait)
         idle, idle_writer = await asyncio.open_connection(HOST, self.port)
-        busy = asyncio.create_task(self.ask(request('/a/x')))
-        while not back.requests:
+        busy = asyncio.create_task(self.send(request('/a/x')))
+        while not endpoint.requests:
             await asyncio.sleep(0)
         self.frontend.close_idle()
         self.assertEqual(await idle.read(), b'')
@@ -428,10 +434,10 @@
         """The endpoint sees at once that nobody waits any more."""
         gone = asyncio.Event()
 
-        back = await self.serve(notes_reset(gone))
+        endpoint = await self.serve(notes_reset(gone))
         _, writer = await asyncio.open_connection(HOST, self.port)
         writer.write(request('/a/x'))
-        while not back.requests:
+        while not endpoint.requests:
             await asyncio.sleep(0)
         writer.close()
         async with asyncio.timeout(30):
--- a/tests/test_heeding.py
+++ b/tests/test_heeding.py
@@ -10,11 +10,11 @@
 
 LEAVING = answer(f'200 OK\r\n{SIGNED}Server-Leaving: 1\r\n', b'fine')
 NOT_RUN = f'503 No\r\n{ID}X-Not-Executed: 1\r\n'
-RESTS = answer(f'{NOT_RUN}Retry-After: 3\r\n', b'')
+ASKS_FOR_REST = answer(f'{NOT_RUN}Retry-After: 3\r\n', b'')
 CALLS = 6
 
 
-class HeedingTest(unittest.IsolatedAsyncioTestCase):
+class NoticesHeededTest(unittest.IsolatedAsyncioTestCase):
     """Two endpoints, the first of which is the better choice."""
 
     async def asyncSetUp(self) -> None:
@@ -24,24 +24,26 @@
     async def asyncTearDown(self) -> None:
         await self.direct.asyncTearDown()
 
-    async def got(self, first: Behaviour) -> list[int]:
+    async def call_counts(self, first: Behaviour) -> list[int]:
         """Give how many calls each endpoint gets of some in a row."""
         await self.direct.serve(first, says(GOOD))
         for _ in range(CALLS):
             await self.direct.call(Repeat.NEVER)
-        return [len(one.requests) for one in self.direct.servers]
+        return [len(server.requests) for server in self.direct.servers]
 
     async def test_an_endpoint_that_says_it_leaves_gets_no_more(self) -> None:
         """Guard against new work for one whose answers say that it leaves."""
-        self.assertEqual(await self.got(says(LEAVING)), [1, CALLS - 1])
+        self.assertEqual(await self.call_counts(says(LEAVING)), [1, CALLS - 1])
 
     async def test_an_endpoint_that_asks_for_rest_gets_it(self) -> None:
         """Guard against calls that come back during the rest asked for."""
-        self.assertEqual(await self.got(says(RESTS)), [1, CALLS])
+        self.assertEqual(
+            await self.call_counts(says(ASKS_FOR_REST)), [1, CALLS]
+        )
 
     async def test_nobody_left_says_when_one_may_be_asked_again(self) -> None:
         """Guard against callers asked back while all endpoints rest."""
-        await self.direct.serve(says(RESTS))
+        await self.direct.serve(says(ASKS_FOR_REST))
         await self.direct.call(Repeat.NEVER)
         ending, _ = await self.direct.call(Repeat.NEVER)
         self.assertIs(ending.outcome, Outcome.NOT_RUN)
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -39,15 +39,15 @@
 )
 from tests.loops import close_server
 from tests.test_curldriver import HOST, Server, says
-from tests.test_direct import Heard, events, stream
+from tests.test_direct import RecordingSink, events, stream
 
 MODEL = 'm'
 BOUND_S = 8
 # What the entries' margins allow for anyway.
-USUAL_WAY_S = 0.3
-MOST = 65536
+USUAL_LINK_DELAY_S = 0.3
+READ_BYTES = 65536
 # A moment sooner or later than the last one.
-CLOSE_S = 0.001
+MOMENT_S = 0.001
 ENGINE = EngineProfile(
     slots=16,
     step_s=0.01,
@@ -94,7 +94,7 @@
     )
 
 
-class NarrowWay:
+class SlowLink:
     """Carry connections to a port, and hold their bytes while it is shut."""
 
     def __init__(self, port: int) -> None:
@@ -113,7 +113,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    async def settled(self) -> None:
+    async def drained(self) -> None:
         """Wait until everything is through and both ends have closed."""
         await asyncio.gather(*self.tasks)
 
@@ -123,20 +123,20 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         there, out = await asyncio.open_connection(HOST, self._port)
-        for pump in (self._onward(reader, out), self._back(there, writer)):
+        for pump in (self._forward(reader, out), self._backward(there, writer)):
             task = asyncio.create_task(pump)
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _onward(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         out: asyncio.StreamWriter,
     ) -> None:
-        held: asyncio.Queue[bytes | None] = asyncio.Queue()
-        reading = asyncio.create_task(self._read(reader, held))
+        buffered: asyncio.Queue[bytes | None] = asyncio.Queue()
+        reading = asyncio.create_task(self._read(reader, buffered))
         while True:
-            piece = await held.get()
+            piece = await buffered.get()
             await self.open.wait()
             if piece is None:
                 break
@@ -147,34 +147,34 @@
     async def _read(
         self,
         reader: asyncio.StreamReader,
-        held: asyncio.Queue[bytes | None],
+        buffered: asyncio.Queue[bytes | None],
     ) -> None:
         with contextlib.suppress(ConnectionResetError):
-            while piece := await reader.read(MOST):
-                held.put_nowait(piece)
-        held.put_nowait(None)
+            while piece := await reader.read(READ_BYTES):
+                buffered.put_nowait(piece)
+        buffered.put_nowait(None)
 
-    async def _back(
+    async def _backward(
         self,
         there: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         with contextlib.suppress(ConnectionResetError):
-            while piece := await there.read(MOST):
+            while piece := await there.read(READ_BYTES):
                 writer.write(piece)
         writer.close()
 
 
-class NarrowWayTest(unittest.IsolatedAsyncioTestCase):
+class SlowLinkTest(unittest.IsolatedAsyncioTestCase):
     """Call an engine of the old version shortly before its bound."""
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
         answer = stream(events(0)).replace(b'c-1', b'c-2')
         self.engine = Server(says(answer))
-        self.way = NarrowWay(await self.engine.start())
+        self.link = SlowLink(await self.engine.start())
         self.wanted = WantedVersions(BOUND_S)
-        self.port = await self.way.start()
+        self.port = await self.link.start()
         directory = Directory()
         directory.update(
             Endpoint(
@@ -205,7 +205,7 @@
 
     async def asyncTearDown(self) -> None:
         self.driver.close()
-        await self.way.close()
+        await self.link.close()
         await self.engine.close()
 
     def dispatch(self) -> DirectDispatcher:
@@ -221,24 +221,26 @@
 
     async def call(self) -> Ending:
         """Run one call."""
-        return await self.dispatcher.run(call_at(self.loop.time()), Heard())
+        return await self.dispatcher.run(
+            call_at(self.loop.time()), RecordingSink()
+        )
 
-    def named(self, left_s: float) -> float:
+    def name_version(self, left_s: float) -> float:
         """Name a newer version, so long before its bound; give the bound."""
         bound = self.loop.time() + left_s
         self.wanted.add_named(MODEL, 2, bound - BOUND_S)
         return bound
 
-    def tell(self, way_s: float) -> None:
+    def report_delay(self, link_delay_s: float) -> None:
         """Report how long bytes wait on the way, as the process there does."""
         news = EngineNews(
             number=1,
             serving=1,
-            way_ms=int(way_s * 1000),
+            way_ms=int(link_delay_s * 1000),
         )
         self.reports.handle_news(News(engine=news), (HOST, 0))
 
-    async def passed(self, moment: float) -> None:
+    async def wait_until(self, moment: float) -> None:
         """Wait until a moment has passed."""
         gone = asyncio.Event()
         self.loop.call_at(moment, gone.set)
@@ -246,7 +248,7 @@
 
     async def test_open_way(self) -> None:
         """A call begins on the old version while there is time for it."""
-        self.named(2 * SEND_MARGIN_S)
+        self.name_version(2 * SEND_MARGIN_S)
         ending = await self.call()
         self.assertEqual(ending.outcome, Outcome.ANSWERED)
         self.assertEqual(len(self.engine.requests), 1)
@@ -257,44 +259,44 @@
         The way was slow for a call before this one, and the process beside
         the engine, to which the way leads as well, says so.
         """
-        self.way.open.clear()
+        self.link.open.clear()
         earlier = asyncio.create_task(self.call())
         await asyncio.sleep(SEND_MARGIN_S)
-        self.way.open.set()
+        self.link.open.set()
         await earlier
         self.assertEqual(len(self.engine.requests), 1)
-        self.tell(way_s=SEND_MARGIN_S)
-        self.way.open.clear()
-        bound = self.named(SEND_MARGIN_S + 0.2)
+        self.report_delay(link_delay_s=SEND_MARGIN_S)
+        self.link.open.clear()
+        bound = self.name_version(SEND_MARGIN_S + 0.2)
         ending = await self.call()
-        await self.passed(bound)
-        self.way.open.set()
-        await self.way.settled()
+        await self.wait_until(bound)
+        self.link.open.set()
+        await self.link.drained()
         self.assertNotEqual(ending.outcome, Outcome.ANSWERED)
         self.assertEqual(len(self.engine.requests), 1)
 
     async def test_slow_way_takes_back_earlier(self) -> None:
         """What takes a call back has to arrive before the bound as well."""
-        way_s = 0.7
-        self.tell(way_s)
-        self.way.open.clear()
-        bound = self.named(2 * SEND_MARGIN_S)
+        link_delay_s = 0.7
+        self.report_delay(link_delay_s)
+        self.link.open.clear()
+        bound = self.name_version(2 * SEND_MARGIN_S)
         await self.call()
         left_s = bound - self.loop.time()
-        self.way.open.set()
-        await self.way.settled()
-        self.assertGreater(left_s, START_MARGIN_S + way_s / 2)
+        self.link.open.set()
+        await self.link.drained()
+        self.assertGreater(left_s, START_MARGIN_S + link_delay_s / 2)
 
 
-class Noting(CurlDriver):
+class CountingDriver(CurlDriver):
     """A driver that notes what would be sent, and sends nothing."""
 
     def __init__(self) -> None:
-        self.noted = 0
+        self.count = 0
 
     def begin(self, req: Request, receiver: Receiver) -> Transfer:
         """Note it, and say that nobody could be reached."""
-        self.noted += 1
+        self.count += 1
         receiver.done(Finish(whole=False, connected=False))
         return Transfer(receiver)
 
@@ -307,35 +309,37 @@
 
     def test_what_is_sent_has_time_to_begin(self) -> None:
         """On any way a call has 0.4 s there before it is taken back."""
-        for way_s in (0, 0.5, 1, 1.5):
-            slow_s = max(0, way_s - USUAL_WAY_S)
+        for link_delay_s in (0, 0.5, 1, 1.5):
+            extra_delay_s = max(0, link_delay_s - USUAL_LINK_DELAY_S)
             # A call that would be taken back a moment too soon, and one not.
-            late_s = SEND_MARGIN_S + 2 * slow_s
+            late_s = SEND_MARGIN_S + 2 * extra_delay_s
             for left_s, sent in (
-                (late_s - CLOSE_S, False),
-                (late_s + CLOSE_S, True),
+                (late_s - MOMENT_S, False),
+                (late_s + MOMENT_S, True),
             ):
-                with self.subTest(way_s=way_s, left_s=left_s):
-                    self.assertIs(virtual.run(is_sent(way_s, left_s)), sent)
+                with self.subTest(link_delay_s=link_delay_s, left_s=left_s):
+                    self.assertIs(
+                        virtual.run(is_sent(link_delay_s, left_s)), sent
+                    )
 
 
-async def is_sent(way_s: float, left_s: float) -> bool:
+async def is_sent(link_delay_s: float, left_s: float) -> bool:
     """Tell whether a call is sent, so long before its version's bound."""
     loop = asyncio.get_running_loop()
     # Bounds begin behind the start of all clocks.
     await asyncio.sleep(2 * BOUND_S)
     directory = Directory()
-    one = Endpoint('i-1', 'pool', HOST, 1, 'z1', 16, ready=True)
-    directory.update(dataclasses.replace(one, versions={MODEL: 1}))
+    endpoint = Endpoint('i-1', 'pool', HOST, 1, 'z1', 16, ready=True)
+    directory.update(dataclasses.replace(endpoint, versions={MODEL: 1}))
     chooser = Chooser(directory, Random(1))
     chooser.stats_of('i-1').record_report(
         Report(
-            0, 0, 1, changing=False, received_at=loop.time(), link_delay_s=way_s
+            0, 0, 1, changing=False, received_at=loop.time(), link_delay_s=link_delay_s
         ),
     )
     wanted = WantedVersions(BOUND_S)
     wanted.add_named(MODEL, 2, loop.time() + left_s - BOUND_S)
-    driver = Noting()
+    driver = CountingDriver()
     dispatcher = DirectDispatcher(
         chooser,
         driver,
@@ -344,8 +348,8 @@
         'z1',
         NoMetrics(),
     )
-    await dispatcher.run(call_at(loop.time()), Heard())
-    return bool(driver.noted)
+    await dispatcher.run(call_at(loop.time()), RecordingSink())
+    return bool(driver.count)
 
 
 class ResumedTest(unittest.TestCase):
@@ -379,16 +383,21 @@
         )
 
 
-class StandingTest(unittest.TestCase):
+class LinkDelayTest(unittest.TestCase):
     """What is believed of a way."""
 
     def test_no_way_is_slower_than_any_that_was_met(self) -> None:
         """Calls took 2 s to arrive at most."""
         stats = EndpointStats()
-        for way_s, slow_s in ((0.3, 0), (1, 0.7), (2, 1.7), (9, 1.7)):
-            stats.record_report(Report(0, 0, 1, False, 0, way_s))
-            with self.subTest(way_s=way_s):
-                self.assertAlmostEqual(stats.extra_link_delay_s(0.1), slow_s)
+        for link_delay_s, extra_delay_s in (
+            (0.3, 0),
+            (1, 0.7),
+            (2, 1.7),
+            (9, 1.7),
+        ):
+            stats.record_report(Report(0, 0, 1, False, 0, link_delay_s))
+            with self.subTest(link_delay_s=link_delay_s):
+                self.assertAlmostEqual(stats.extra_link_delay_s(0.1), extra_delay_s)
 
 
 if __name__ == '__main__':
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -22,7 +22,7 @@
 )
 
 
-class SilenceTest(unittest.TestCase):
+class SilenceTimeoutsTest(unittest.TestCase):
     """Compare with when callers of such routes leave."""
 
     def test_routes(self) -> None:
@@ -38,8 +38,8 @@
             route = dataclasses.replace(ROUTE, target_s=target_s, gap_s=gap_s)
             found = dataclasses.astuple(SilenceTimeouts.for_route(route))
             with self.subTest(target_s=target_s, gap_s=gap_s):
-                for one, other in zip(found, expected, strict=True):
-                    self.assertAlmostEqual(one, other)
+                for actual, wanted in zip(found, expected, strict=True):
+                    self.assertAlmostEqual(actual, wanted)
 
 
 if __name__ == '__main__':
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -45,7 +45,7 @@
         return self.at
 
 
-class PlacesTest(unittest.TestCase):
+class RegionsTest(unittest.TestCase):
     """Choose among endpoints of three zones in two regions."""
 
     def setUp(self) -> None:
@@ -76,7 +76,9 @@
         }
         self.feed.replace_all(Snapshot(self.found, 9))
         self.chooser.candidates.prefer_hosts(
-            one.host for one in self.directory.all() if one.host.endswith('1')
+            endpoint.host
+            for endpoint in self.directory.all()
+            if endpoint.host.endswith('1')
         )
 
     def entry(self, zone: str, number: int, **more: object) -> object:
@@ -86,21 +88,21 @@
         more = {'service': 'desk', 'address': place, 'zone': zone, **more}
         return {**plain, **more}
 
-    def zones(self, requirements: Requirements) -> set[str]:
+    def zones_chosen(self, requirements: Requirements) -> set[str]:
         """Give where calls go, each with its own lot."""
         found = set()
         for lot in range(CALLS):
-            one = Requirements(
+            lot_need = Requirements(
                 requirements.service,
                 requirements.zone,
                 sample_number=lot,
                 region_scope=requirements.region_scope,
             )
-            choice = self.chooser.choose(one, (), self.clock.now())
+            choice = self.chooser.choose(lot_need, (), self.clock.now())
             found.add(choice.endpoint.zone if choice else 'nowhere')
         return found
 
-    def evacuated(self, *zones: str) -> None:
+    def evacuate_zones(self, *zones: str) -> None:
         """Let the operators evacuate zones, all others back."""
         written = {f'op/evacuate/{zone}': told({}) for zone in zones}
         self.feed.replace_all(Snapshot({**self.found, **written}, 12))
@@ -115,7 +117,7 @@
             ):
                 scope = RegionScope(frozenset((region,)))
                 with self.subTest(zone=zone, region=region):
-                    found = self.zones(
+                    found = self.zones_chosen(
                         Requirements(DESK, zone, region_scope=scope)
                     )
                     self.assertLessEqual(found, allowed)
@@ -124,9 +126,9 @@
         """Where all of the region were tried, nothing else is."""
         scope = RegionScope(frozenset(('south',)))
         tried = {
-            one.incarnation_id
-            for one in self.directory.all()
-            if one.zone == 'z3'
+            endpoint.incarnation_id
+            for endpoint in self.directory.all()
+            if endpoint.zone == 'z3'
         }
         requirements = Requirements(DESK, 'z1', region_scope=scope)
         self.assertIsNone(self.chooser.choose(requirements, tried, 0))
@@ -160,30 +162,30 @@
     def test_an_evacuated_zone(self) -> None:
         """Nothing goes there, until it is taken back; also bound calls."""
         requirements = Requirements(DESK, 'z1')
-        self.evacuated('z1')
-        self.assertNotIn('z1', self.zones(requirements))
+        self.evacuate_zones('z1')
+        self.assertNotIn('z1', self.zones_chosen(requirements))
         south = Requirements(
             DESK, 'z3', region_scope=RegionScope(frozenset(('south',)))
         )
-        self.evacuated('z3')
-        self.assertEqual(self.zones(south), {'nowhere'})
+        self.evacuate_zones('z3')
+        self.assertEqual(self.zones_chosen(south), {'nowhere'})
         # What stands under the key does not matter.
         change = Change('op/evacuate/z1', Record(b'{[', 20))
         self.feed.apply_changes((change,))
-        self.assertEqual(self.zones(requirements), {'z2'})
+        self.assertEqual(self.zones_chosen(requirements), {'z2'})
         self.feed.apply_changes((Change('op/evacuate/z1', None),))
-        self.assertIn('z1', self.zones(requirements))
-        self.evacuated()
-        self.assertNotIn('nowhere', self.zones(south))
+        self.assertIn('z1', self.zones_chosen(requirements))
+        self.evacuate_zones()
+        self.assertNotIn('nowhere', self.zones_chosen(south))
 
     def test_a_zone_that_comes_back(self) -> None:
         """Its servers may be cold, and have not told yet."""
         self.chooser.entry_count = lambda: 39
-        self.evacuated('z1')
-        self.evacuated()
-        self.assertNotIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.evacuate_zones('z1')
+        self.evacuate_zones()
+        self.assertNotIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
         self.clock.at += 2.1
-        self.assertIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
     def test_servers_that_are_cold(self) -> None:
         """Each entry sends its part there until they are warm."""
@@ -193,19 +195,23 @@
             for number in range(EACH)
         ]
         self.feed.apply_changes(tuple(changes))
-        self.assertNotIn('z1', self.zones(Requirements(COLD, 'z1')))
-        self.assertIn('z1', self.zones(Requirements(DESK, 'z1')))
+        self.assertNotIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones_chosen(Requirements(DESK, 'z1')))
         self.clock.at += COLD_MS / 1000 + 0.1
-        self.assertIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
     def test_a_server_that_was_lost(self) -> None:
         """It may come back cold before it says so."""
-        one = self.directory.get('z3-1')
-        assert one is not None
+        endpoint = self.directory.get('z3-1')
+        assert endpoint is not None
         self.chooser.entry_count = lambda: 39
-        self.chooser.record_unreachable(COLD, one, self.clock.now())
-        self.assertTrue(self.directory.is_cold(one, self.clock.now() + 2.9))
-        self.assertFalse(self.directory.is_cold(one, self.clock.now() + 3.1))
+        self.chooser.record_unreachable(COLD, endpoint, self.clock.now())
+        self.assertTrue(
+            self.directory.is_cold(endpoint, self.clock.now() + 2.9)
+        )
+        self.assertFalse(
+            self.directory.is_cold(endpoint, self.clock.now() + 3.1)
+        )
 
     def _cold(self, number: int) -> object:
         return self.entry('z1', number, cold_remaining_ms=COLD_MS)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -31,7 +31,7 @@
 from linnetwood.wire.curldriver import CurlDriver
 from tests import test_narrow_way
 from tests.test_curldriver import HOST, Server, says
-from tests.test_direct import SIGNED, Heard, answer
+from tests.test_direct import SIGNED, RecordingSink, answer
 
 ENTRIES = 6
 CALLS = 40
@@ -128,11 +128,11 @@
         port = await self.server.start()
         entries = [self.entry(port) for _ in range(ENTRIES)]
         for one in entries:
-            await one.run(self.call(), Heard())
+            await one.run(self.call(), RecordingSink())
         # Each entry has been told now.
         times.clear()
         for _ in range(CALLS):
-            calls = [one.run(self.call(), Heard()) for one in entries]
+            calls = [one.run(self.call(), RecordingSink()) for one in entries]
             await asyncio.gather(*calls)
         self.assertLessEqual(most_in_span(times), allowed(1.0))
 
@@ -141,8 +141,8 @@
         head = f'200 OK\r\n{SIGNED}Server-Limit: 0.2\r\n'
         self.server = Server(says(answer(head, b'fine')))
         one = self.entry(await self.server.start())
-        await one.run(self.call(), Heard())
-        ending = await one.run(self.call(), Heard())
+        await one.run(self.call(), RecordingSink())
+        ending = await one.run(self.call(), RecordingSink())
         self.assertIs(ending.outcome, Outcome.NOT_RUN)
         self.assertEqual(ending.detail, 'limited')
         self.assertGreater(ending.retry_after_ms, 200)
--- a/tests/test_severed.py
+++ b/tests/test_severed.py
@@ -22,12 +22,12 @@
     Request,
     Transfer,
 )
-from tests.test_direct import Heard, events
+from tests.test_direct import RecordingSink, events
 from tests.test_narrow_way import ROUTE
 
 STREAMS = 20
 EVENTS = 10
-EVERY_S = 0.1
+EVENT_INTERVAL_S = 0.1
 SEVERED_AT = 0.55
 PORTS = (1, 2)
 POOL = Service('pool', 100)
@@ -41,14 +41,14 @@
         self.severed_at = self.loop.time() + SEVERED_AT
         self.begun: list[tuple[float, int, int]] = []
         self.cancelled = 0
-        self.sending: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
 
     def begin(self, req: Request, receiver: Receiver) -> Transfer:
         """Send a stream from behind the event that the caller has."""
         after = int(dict(req.headers).get('Last-Event-Id', '0'))
         self.begun.append((self.loop.time(), req.port, after))
         task = asyncio.create_task(self.send(receiver, after))
-        self.sending.add(task)
+        self.tasks.add(task)
         return Transfer(receiver)
 
     def cancel(self, transfer: Transfer) -> None:
@@ -63,14 +63,16 @@
             [('X-Attempt-Id', 'c-1'), ('X-Server-Signature', 's-1')],
         )
         for number in range(after + 1, EVENTS + 1):
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
             if began < self.severed_at <= self.loop.time():
                 return
             receiver.body(events(number))
         receiver.done(Finish(whole=True, connected=True))
 
 
-async def played() -> tuple[SeveredDriver, list[Heard], list[Outcome]]:
+async def run_severed() -> tuple[
+    SeveredDriver, list[RecordingSink], list[Outcome]
+]:
     """Run streams at two endpoints, all of which are severed midway."""
     loop = asyncio.get_running_loop()
     directory = Directory()
@@ -100,10 +102,10 @@
         now,
         now + ROUTE.timeout_s,
     )
-    callers = [Heard() for _ in range(STREAMS)]
-    running = [dispatcher.run(call, caller) for caller in callers]
+    sinks = [RecordingSink() for _ in range(STREAMS)]
+    running = [dispatcher.run(call, sink) for sink in sinks]
     endings = await asyncio.gather(*running)
-    return driver, callers, [one.outcome for one in endings]
+    return driver, sinks, [ending.outcome for ending in endings]
 
 
 class SeveredTest(unittest.TestCase):
@@ -111,15 +113,15 @@
 
     def test_every_stream_goes_on_elsewhere(self) -> None:
         """Guard against streams lost, doubled or mixed as connections hang."""
-        driver, callers, outcomes = virtual.run(played())
+        driver, sinks, outcomes = virtual.run(run_severed())
         whole = events(*range(1, EVENTS + 1))
         self.assertEqual(set(outcomes), {Outcome.ANSWERED})
-        self.assertEqual({one.received for one in callers}, {whole})
+        self.assertEqual({sink.received for sink in sinks}, {whole})
         self.assertEqual(len(driver.begun), 2 * STREAMS)
 
     def test_none_waits_for_longer_than_its_silence(self) -> None:
         """Guard against callers that leave before the second one begins."""
-        driver, _, _ = virtual.run(played())
+        driver, _, _ = virtual.run(run_severed())
         again = driver.begun[STREAMS:]
         silence_s = max(at for at, _, _ in again) - driver.severed_at
         self.assertLessEqual(
