--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -198,7 +198,7 @@
         limits = self.retry_limits
         budget = self._budgets.get(service)
         if budget is None:
-            # A restarted process must not spend its whole reserve twice.
+            # Half of it at first: a restart must not spend the reserve twice.
             budget = RetryBudget(limits.share, limits.reserve / 2)
             self._budgets[service] = budget
         budget.set_limits(limits.share, limits.reserve)
@@ -513,8 +513,8 @@
     ) -> Ending:
         """End a call for which no endpoint is available.
 
-        `limited_s` is how long rate limits rule out all endpoints, 0 if they
-        don't.
+        `limited_s` is the time in seconds until a rate limit or a requested
+        rest of an endpoint is over, 0 if neither is the reason.
         """
         ending = self.ending(answer, Code.NO_ENDPOINT)
         if ending.outcome is not Outcome.NOT_RUN or not rate_limited_s:
--- a/src/linnetwood/calls/frontend.py
+++ b/src/linnetwood/calls/frontend.py
@@ -363,7 +363,7 @@
 
 
 def refuse(writer: AnswerWriter, ending: Ending) -> None:
-    """Answer a call that has no answer with a status for its ending."""
+    """Send the status and the error code of a call without an answer."""
     if ending.outcome is Outcome.NOT_RUN:
         status = _STATUSES.get(ending.code, _UNAVAILABLE)
     else:
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions that can be exchanged: by name, checked, each with its ways."""
+"""Decisions on calls: the settings that select policies, and the policies."""
 
 import dataclasses
 import pathlib
@@ -39,17 +39,17 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """What the settings file of a resident process may say."""
+    """Read the decisions in the settings file of a resident process."""
 
     def read(self, text: str) -> Decisions:
-        """Read a file that says this."""
+        """Read a settings file with this text."""
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'decisions.yaml'
             path.write_text(text)
             return read_decisions([str(path)])
 
-    def test_every_way_has_a_name_and_every_name_a_way(self) -> None:
-        """Nothing is allowed that can't be had, and the other way round."""
+    def test_settings_allow_exactly_the_known_policies(self) -> None:
+        """Each decision allows the names of all its policies and no others."""
         fields = {field.name: field for field in dataclasses.fields(Decisions)}
         self.assertEqual(fields.keys(), POLICIES.keys())
         for name, policies in POLICIES.items():
@@ -58,17 +58,17 @@
                 self.assertEqual(set(allowed), set(policies))
                 self.assertGreaterEqual(len(policies), 2)
 
-    def test_without_a_file(self) -> None:
-        """The ways that were best."""
+    def test_defaults_without_a_file(self) -> None:
+        """Without a file the default policies are used."""
         self.assertEqual(read_decisions([]), Decisions())
 
-    def test_a_file(self) -> None:
-        """It names what differs."""
+    def test_file_overrides_defaults(self) -> None:
+        """A file needs to name only what differs from the defaults."""
         found = self.read('returns: sized-window\n')
         self.assertEqual(found, Decisions(returns='sized-window'))
 
-    def test_what_does_not_fit(self) -> None:
-        """It is refused with a code, the field and what is allowed."""
+    def test_invalid_files_are_refused(self) -> None:
+        """An invalid file is refused with the code of its error."""
         cases = (
             ('returns: never\n', 'settings-bad-field'),
             ('retuns: last-part\n', 'settings-bad-field'),
@@ -81,8 +81,8 @@
                     self.read(text)
                 self.assertEqual(caught.exception.code, code)
 
-    def test_files_that_are_not_there_or_too_many(self) -> None:
-        """Nothing starts on a guess."""
+    def test_missing_or_surplus_files_are_refused(self) -> None:
+        """A process doesn't guess which settings are meant."""
         for argv, code in (
             (['/nowhere/decisions.yaml'], 'settings-unreadable'),
             (['a', 'b'], 'settings-too-many'),
@@ -94,10 +94,10 @@
 
 
 class RetryAfterTest(unittest.TestCase):
-    """When refused callers come back."""
+    """When refused callers retry."""
 
-    def test_nobody_is_told_to_wait_too_long(self) -> None:
-        """A third of the time that is left, and not at once."""
+    def test_retry_delays_are_bounded(self) -> None:
+        """Delays are 0.15 s to a third of the remaining time."""
         for make in RETRY_AFTER_POLICIES.values():
             retry_after = make(Random(1))
             for number in range(200):
@@ -105,8 +105,8 @@
                 self.assertLessEqual(after_s, 2)
                 self.assertGreaterEqual(after_s, 0.15)
 
-    def test_a_window_as_long_as_the_crowd_needs(self) -> None:
-        """Few come back soon; many over all that they wait."""
+    def test_window_grows_with_the_refused_callers(self) -> None:
+        """A few retry soon; many are spread over the longest wait."""
         few = SizedWindow(Random(1))
         many = SizedWindow(Random(1))
         for number in range(10):
@@ -120,8 +120,8 @@
         self.assertGreater(max(later), 1.5)
         self.assertLess(min(later), 1)
 
-    def test_the_last_part(self) -> None:
-        """Whoever comes back is late anyway, and differs from others."""
+    def test_last_part_of_the_wait(self) -> None:
+        """Retries are late, and spread."""
         retry_after = LastPart(Random(1))
         found = [retry_after.after_s(6, 0) for _ in range(50)]
         self.assertGreaterEqual(min(found), 1.2)
@@ -131,12 +131,12 @@
 def traits(
     route: str, wait_s: float | None, target_s: float = 0.5
 ) -> CallTraits:
-    """Give what a caller says that it waits."""
+    """Return the traits of a call whose caller states this wait."""
     return CallTraits(route, wait_s, target_s)
 
 
 class FirstAttemptTest(unittest.TestCase):
-    """Who comes for the first time, by what callers say that they wait."""
+    """Tell first attempts from retries by the waits that callers state."""
 
     def setUp(self) -> None:
         self.detector = ByRemainingWait()
@@ -145,36 +145,36 @@
                 self.detector.is_first(traits('r', 6 + number / 100), 0)
             )
 
-    def test_who_was_refused_has_less_time(self) -> None:
-        """A fifth of it at least; others differ by little."""
+    def test_refused_callers_have_less_time(self) -> None:
+        """Retries state a fifth less at least; first attempts differ little."""
         self.detector.refused(1)
         self.assertTrue(self.detector.is_first(traits('r', 6.0), 1))
         self.assertFalse(self.detector.is_first(traits('r', 4.8), 2))
         self.assertFalse(self.detector.is_first(traits('r', 4.1), 2))
 
-    def test_who_may_still_be_in_time(self) -> None:
-        """It counts as a first try, also where it has waited."""
+    def test_retries_that_may_be_in_time_count_as_first(self) -> None:
+        """A call that has waited for less than its target counts as first."""
         self.detector.refused(1)
         self.assertTrue(self.detector.is_first(traits('r', 4.8, 2), 2))
         self.assertFalse(self.detector.is_first(traits('r', 4.1, 1.5), 2))
 
-    def test_routes_differ(self) -> None:
-        """Each has callers of its own."""
+    def test_routes_are_independent(self) -> None:
+        """Callers of different routes may state different waits."""
         self.assertTrue(self.detector.is_first(traits('s', 1.5), 0))
         self.assertFalse(self.detector.is_first(traits('r', 1.5), 0))
 
-    def test_nothing_is_said(self) -> None:
-        """Then nobody is put behind."""
+    def test_calls_without_a_wait_count_as_first(self) -> None:
+        """A caller that states no wait is never treated as retrying."""
         self.assertTrue(self.detector.is_first(traits('r', None), 0))
 
-    def test_nobody_is_known_yet(self) -> None:
-        """All are alike until enough were seen."""
+    def test_calls_count_as_first_until_enough_were_seen(self) -> None:
+        """One call is not enough to compare with."""
         detector = ByRemainingWait()
         detector.is_first(traits('r', 6), 0)
         self.assertTrue(detector.is_first(traits('r', 3), 0))
 
-    def test_callers_that_differ(self) -> None:
-        """The way does not fit, and is left by itself."""
+    def test_detection_turns_itself_off_where_callers_differ(self) -> None:
+        """Where callers state different waits, all count as first attempts."""
         detector = ByRemainingWait()
         rng = Random(1)
         waits = [rng.uniform(2, 6) for _ in range(200)]
@@ -183,15 +183,15 @@
         detector.refused(1)
         self.assertTrue(detector.is_first(traits('r', 2), 1))
 
-    def test_returns_don_t_count_against_it(self) -> None:
-        """Those who come back after a refusal are what it is for."""
+    def test_retries_after_refusals_keep_the_detection_on(self) -> None:
+        """Short waits after a refusal don't show that callers differ."""
         self.detector.refused(10)
         found = [self.detector.is_first(traits('r', 4), 11) for _ in range(100)]
         self.assertFalse(any(found))
         self.assertTrue(self.detector.is_reliable)
 
-    def test_callers_that_wait_less_from_now_on(self) -> None:
-        """What they waited before is forgotten."""
+    def test_old_waits_are_forgotten(self) -> None:
+        """Callers that wait less than before count as first again."""
         found = [
             self.detector.is_first(traits('r', 3), at)
             for at in range(1, 100, 5)
@@ -199,27 +199,27 @@
         self.assertTrue(found[-1])
 
     def test_memory_is_bounded(self) -> None:
-        """Routes beyond a number are not told apart."""
+        """At 4096 routes no more are stored; their calls count as first."""
         for number in range(10000):
             self.detector.is_first(traits(f'r{number}', 6), 0)
         self.assertLessEqual(len(self.detector._longest), 4096)
         self.assertTrue(self.detector.is_first(traits('r9999', 1), 0))
 
-    def test_all_alike(self) -> None:
-        """The other way tells nobody apart."""
+    def test_without_detection_all_count_as_first(self) -> None:
+        """The other policy tells no calls apart."""
         self.assertTrue(AlwaysFirst().is_first(traits('r', 0.1), 0))
 
 
 class RetryCapacityTest(unittest.TestCase):
-    """Which places callers who come back may have."""
+    """Which slots retrying callers may take."""
 
-    def test_as_first(self) -> None:
-        """All that first tries may have."""
+    def test_same_slots_as_first_attempts(self) -> None:
+        """Retrying callers may take any slot."""
         for taken in (0, 8, 15, 20):
             self.assertTrue(same_as_first(SlotUsage(taken, 16)))
 
-    def test_a_reserve(self) -> None:
-        """Where more than a quarter of the slots is free."""
+    def test_slots_beyond_a_reserve(self) -> None:
+        """A retrying caller needs more than a quarter of the slots free."""
         for taken, slots, expected in (
             (0, 16, True),
             (11, 16, True),
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -1,4 +1,4 @@
-"""Calls straight at endpoints: whole answers, true refusals, at most once."""
+"""Direct calls at endpoints: complete answers, true refusals, safe retries."""
 
 import asyncio
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 def answer(head: str, body: bytes, length: int | None = None) -> bytes:
-    """Give an answer with a length."""
+    """Return an HTTP answer with a length."""
     size = len(body) if length is None else length
     text = f'HTTP/1.1 {head}Content-Length: {size}\r\n\r\n'
     return text.encode() + body
@@ -36,7 +36,7 @@
 
 
 class RecordingSink(AnswerSink):
-    """A caller that keeps what it is sent."""
+    """Record the answer that a caller is sent."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -64,12 +64,12 @@
 
 
 def events(*numbers: int) -> bytes:
-    """Give whole events."""
+    """Return whole events of a stream."""
     return b''.join(b'id: %d\ndata: x\n\n' % number for number in numbers)
 
 
 def stream(*parts: bytes, ends: bool = True) -> bytes:
-    """Give a chunked stream; without an end it is broken off."""
+    """Return a chunked stream; without an end it is truncated."""
     head = f'HTTP/1.1 200 OK\r\n{SIGNED}Transfer-Encoding: chunked\r\n\r\n'
     chunks = b''.join(b'%x\r\n%s\r\n' % (len(part), part) for part in parts)
     end = b'0\r\n\r\n' if ends else b''
@@ -77,7 +77,7 @@
 
 
 class DirectTest(unittest.IsolatedAsyncioTestCase):
-    """Run calls at stand-ins, the first of which may fail."""
+    """Run calls at test servers, the first of which may fail."""
 
     async def asyncSetUp(self) -> None:
         self.servers: list[Server] = []
@@ -151,11 +151,11 @@
         return await self.dispatcher.run(call, sink), sink
 
     def runs(self) -> int:
-        """Count what reached any endpoint."""
+        """Count the requests that reached any endpoint."""
         return sum(len(server.requests) for server in self.servers)
 
-    async def test_outcomes_of_calls_that_may_not_repeat(self) -> None:
-        """Only proof that nothing ran leads to a second endpoint."""
+    async def test_outcomes_of_calls_that_may_not_be_repeated(self) -> None:
+        """Only proof that a call did not run leads to a second endpoint."""
         late = answer(f'200 OK\r\n{SIGNED}', b'fin', length=4)
         other = GOOD.replace(b'c-1', b'c-2')
         unsigned = answer(f'200 OK\r\n{ID}', b'fine')
@@ -180,14 +180,14 @@
                 if outcome is Outcome.UNKNOWN:
                     self.assertEqual(sink.received, b'')
 
-    async def test_unknown_stays_unknown_across_lives(self) -> None:
-        """An endpoint that starts again under its id is sent nothing twice."""
+    async def test_restart_is_no_proof_that_a_call_did_not_run(self) -> None:
+        """After a restart under the same id only repeatable calls are resent."""
 
         async def crash(
             reader: asyncio.StreamReader,
             writer: asyncio.StreamWriter,
         ) -> None:
-            # It is listed again before the caller's connection has gone.
+            # It is listed again before the connection of the call is reset.
             self.directory.update(dataclasses.replace(listed, born=5))
             await reset(reader, writer)
 
@@ -201,8 +201,8 @@
                 self.assertEqual(ending.outcome, Outcome.UNKNOWN)
                 self.assertEqual(self.runs(), runs)
 
-    async def test_calls_that_may_repeat_go_on(self) -> None:
-        """Any failure leads to a second endpoint, and its answer goes out."""
+    async def test_repeatable_calls_are_retried(self) -> None:
+        """Any failure leads to a second endpoint, whose answer is delivered."""
         cases: tuple[tuple[str, Behaviour], ...] = (
             ('failed', says(FAILED)),
             ('reset', reset),
@@ -217,8 +217,8 @@
                 self.assertEqual(ending.outcome, Outcome.ANSWERED)
                 self.assertEqual((sink.status, sink.received), (200, b'fine'))
 
-    async def test_no_more_endpoints_than_the_route_allows(self) -> None:
-        """The last failure of an endpoint goes to the caller as it is."""
+    async def test_no_more_attempts_than_the_route_allows(self) -> None:
+        """The last failure of an endpoint is delivered to the caller."""
         await self.serve(says(FAILED), says(FAILED), says(GOOD))
         ending, sink = await self.call(Repeat.MAY)
         self.assertEqual(ending.outcome, Outcome.ANSWERED)
@@ -226,14 +226,14 @@
         self.assertEqual(self.runs(), 2)
 
     async def test_refused_everywhere_is_not_run(self) -> None:
-        """A call that nobody ran is told so, with a time to come back."""
+        """A call that no endpoint ran ends as not run, with a retry delay."""
         await self.serve(says(FULL), says(FULL))
         ending, _ = await self.call(Repeat.NEVER)
         self.assertEqual(ending.outcome, Outcome.NOT_RUN)
         self.assertGreater(ending.retry_after_ms, 0)
 
-    async def test_no_more_attempts_than_the_shared_budget_allows(self) -> None:
-        """Without budget the first failure is the last; with it one more."""
+    async def test_no_more_attempts_than_the_retry_budget_allows(self) -> None:
+        """A failure is retried only if the budget has a retry left."""
         cases = ((RetryLimits(0, 0), 1), (RetryLimits(0, 4), 2))
         for bounds, runs in cases:
             with self.subTest(bounds=bounds):
@@ -244,8 +244,8 @@
                 await self.call(Repeat.MAY)
                 self.assertEqual(self.runs(), runs)
 
-    async def test_stream_goes_on_at_another_endpoint(self) -> None:
-        """No event is missing, doubled or halved, and one answer holds all."""
+    async def test_stream_is_resumed_at_another_endpoint(self) -> None:
+        """One answer has all events: none is missing, repeated or cut."""
         first = stream(events(0, 1), b'id: 2\nda', ends=False)
         await self.serve(says(first), says(stream(events(2, 3))))
         ending, sink = await self.call(Repeat.RESUME, streams=True)
@@ -254,8 +254,8 @@
         self.assertEqual(sink.ended, 'whole')
         self.assertIn(b'Last-Event-Id: 1\r\n', self.servers[1].requests[0])
 
-    async def test_stream_that_may_not_be_resumed_is_cut(self) -> None:
-        """What was broken off must not look whole."""
+    async def test_stream_that_may_not_be_resumed_is_aborted(self) -> None:
+        """A truncated answer must not look complete."""
         first = stream(events(0, 1), ends=False)
         await self.serve(says(first), says(stream(events(2, 3))))
         ending, sink = await self.call(Repeat.NEVER, streams=True)
@@ -263,8 +263,8 @@
         self.assertEqual((sink.received, sink.ended), (events(0, 1), 'aborted'))
         self.assertEqual(self.runs(), 1)
 
-    async def test_key_is_not_shown_and_the_organisation_is_set(self) -> None:
-        """An endpoint is told who calls, never the key."""
+    async def test_key_is_removed_and_the_organisation_is_set(self) -> None:
+        """An endpoint gets the organisation of a call, never the API key."""
         sent = PlatformDialect().outgoing(
             [
                 ('Authorization', 'Bearer k1'),
--- a/tests/test_entrance.py
+++ b/tests/test_entrance.py
@@ -1,4 +1,4 @@
-"""Who is taken at the door, how urgently, and who is refused."""
+"""Which calls are admitted, with which urgency, and which are refused."""
 
 import unittest
 from random import Random
@@ -31,12 +31,12 @@
     shares=(Share('pool', 1),),
 )
 FIRST_ATTEMPT_WAIT_S = 6.0
-# What is left to a caller who was refused and waited for a fourth of that.
+# Left to a caller who was refused and waited for a fourth of its time.
 RETRY_WAIT_S = 4.5
 
 
 class StoppedClock:
-    """A clock that stands still."""
+    """A clock that always shows the same time."""
 
     def now(self) -> float:
         return 10
@@ -46,7 +46,7 @@
 
 
 class FixedRequirements:
-    """Stand in for the dispatcher: every call needs the same."""
+    """Replace the dispatcher: all calls have the same requirements."""
 
     def requirements(self, call: DirectCall) -> Requirements:
         enough_s = call.route.target_s - SPREAD_S
@@ -56,7 +56,7 @@
 
 
 def call(wait_s: float, service: Service = POOL) -> DirectCall:
-    """Give a call whose caller waits so long."""
+    """Return a call whose caller waits for `wait_s` seconds."""
     return DirectCall(
         CallHead(call_id='c', wait_s=wait_s, model='m'),
         ROUTE,
@@ -72,7 +72,7 @@
 
 
 class DeadlineAdmissionTest(unittest.TestCase):
-    """Offer calls to engines with more or less to do."""
+    """Admit calls at an engine under different loads."""
 
     def setUp(self) -> None:
         directory = Directory()
@@ -87,7 +87,7 @@
         self.admission(call(FIRST_ATTEMPT_WAIT_S))
 
     def decide(self, waiting: int, running: int) -> str:
-        """Say what becomes of a call at an engine with so much to do."""
+        """Return the decision on a call at an engine with this load."""
         engine_report = report(waiting, running, 10)
         self.chooser.stats_of('i-1').record_report(engine_report)
         decision = self.admission(call(FIRST_ATTEMPT_WAIT_S))
@@ -97,8 +97,8 @@
             return 'refused'
         return decision.value
 
-    def test_late_calls_take_nobody_s_place(self) -> None:
-        """What will be late is taken where a slot is free, else refused."""
+    def test_late_calls_displace_no_others(self) -> None:
+        """A call that will be late is admitted only if a slot stays free."""
         cases = (
             ('idle', 0, 2, Urgency.IN_TIME.value),
             ('few wait, all slots taken', 2, 16, 'refused'),
@@ -110,8 +110,8 @@
             with self.subTest(name=name):
                 self.assertEqual(self.decide(waiting, running), expected)
 
-    def test_callers_come_back_late_and_not_at_once(self) -> None:
-        """They wait for a third of their time at most, and differ."""
+    def test_retry_delays_are_long_and_spread(self) -> None:
+        """Delays are at most a third of the remaining time, and differ."""
         self.chooser.stats_of('i-1').record_report(report(9, 16, 10))
         waits = []
         for _ in range(50):
@@ -125,16 +125,16 @@
         self.assertGreaterEqual(min(waits), int(left_ms / 3 * 0.6))
         self.assertGreater(max(waits) - min(waits), left_ms / 3 * 0.3)
 
-    def test_plain_services_take_every_call(self) -> None:
-        """Only engines tell enough to predict by."""
+    def test_plain_services_admit_every_call(self) -> None:
+        """Waits are predicted for engines only."""
         desk = Service('desk', 10)
         self.assertIs(
             self.admission(call(FIRST_ATTEMPT_WAIT_S, desk)),
             Urgency.IN_TIME,
         )
 
-    def test_no_endpoint_is_a_refusal(self) -> None:
-        """Nothing can run where nobody serves."""
+    def test_call_without_an_endpoint_is_refused(self) -> None:
+        """A call is refused if its service has no endpoint."""
         empty = DeadlineAdmission(
             Chooser(Directory(), Random(1)),
             FixedRequirements(),
@@ -145,15 +145,15 @@
         assert isinstance(decision, Ending)
         self.assertEqual(decision.code, 'no-endpoint')
 
-    def test_choice_is_the_chooser_s(self) -> None:
-        """The prediction comes of the endpoint that would be taken."""
+    def test_chooser_predicts_a_wait(self) -> None:
+        """The prediction is of the endpoint that would be chosen."""
         choice = self.chooser.choose(Requirements(POOL, 'z1', 1000, 'm'), (), 10)
         assert isinstance(choice, Choice)
         self.assertGreater(choice.wait_s, 0)
 
 
 class RetryingCallerTest(unittest.TestCase):
-    """Offer first tries and returns to an engine with more or less to do."""
+    """Admit first attempts and retries at an engine under different loads."""
 
     def setUp(self) -> None:
         directory = Directory()
@@ -172,7 +172,7 @@
     def decide_each(
         self, waiting: int, running: int, *waits: float
     ) -> list[str]:
-        """Say what becomes of calls at an engine with so much to do."""
+        """Return the decisions on calls at an engine with this load."""
         engine_report = report(waiting, running, 10)
         self.chooser.stats_of('i-1').record_report(engine_report)
         decisions = [self.admission(call(wait_s)) for wait_s in waits]
@@ -181,13 +181,13 @@
             for decision in decisions
         ]
 
-    def test_first_tries_have_the_last_places(self) -> None:
-        """Returns have what is left beside a reserve, and are refused truly."""
+    def test_last_slots_are_reserved_for_first_attempts(self) -> None:
+        """Retrying callers get only the slots beyond a reserve."""
         in_time = Urgency.IN_TIME.value
         cases = (
             ('idle', 0, 2, in_time, in_time),
-            ('half is taken', 0, 8, in_time, in_time),
-            ('most is taken', 0, 12, in_time, 'came back'),
+            ('half is in use', 0, 8, in_time, in_time),
+            ('most is in use', 0, 12, in_time, 'came back'),
         )
         for name, waiting, running, first, again in cases:
             with self.subTest(name=name):
@@ -196,16 +196,16 @@
                 )
                 self.assertEqual(decisions, [first, again])
 
-    def test_refused_returns_may_come_again(self) -> None:
-        """They are told when, within a third of what they have left."""
+    def test_refused_retrying_callers_get_a_retry_delay(self) -> None:
+        """They end as not run, and may retry once more."""
         self.chooser.stats_of('i-1').record_report(report(0, 12, 10))
         decision = self.admission(call(RETRY_WAIT_S))
         assert isinstance(decision, Ending)
         self.assertIs(decision.outcome, Outcome.NOT_RUN)
         self.assertGreater(decision.retry_after_ms, 0)
 
-    def test_plain_services_take_returns(self) -> None:
-        """Only engines tell enough to keep places."""
+    def test_plain_services_admit_retrying_callers(self) -> None:
+        """Slots are reserved at engines only."""
         desk = Service('desk', 10)
         decision = self.admission(call(RETRY_WAIT_S, desk))
         self.assertIs(decision, Urgency.IN_TIME)
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -1,4 +1,4 @@
-"""Callers' connections at an entry: refusals, departures, stops."""
+"""Connections of callers at an entry: refusals, disconnects, stopping."""
 
 import asyncio
 import math
@@ -81,7 +81,7 @@
 
 
 def request(path: str, key: str = 'k1', host: str = 'h.example') -> bytes:
-    """Give a whole request."""
+    """Return a complete request."""
     lines = (
         f'POST {path} HTTP/1.1',
         f'Host: {host}',
@@ -96,7 +96,7 @@
 
 
 class ManualClock:
-    """A clock that stands until it is set."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -109,7 +109,7 @@
 
 
 class FrontendTest(unittest.IsolatedAsyncioTestCase):
-    """Speak to a front over sockets."""
+    """Connect to a frontend over sockets."""
 
     async def asyncSetUp(self) -> None:
         self.route_table = ROUTE_TABLE
@@ -160,7 +160,7 @@
             await server.close()
 
     async def serve(self, behave: Behaviour) -> Server:
-        """Start the one endpoint."""
+        """Start the only endpoint."""
         server = Server(behave)
         self.endpoints.append(server)
         port = await server.start()
@@ -170,7 +170,7 @@
         return server
 
     async def send(self, *requests: bytes) -> list[tuple[int, bytes, bytes]]:
-        """Send requests on one connection; give status, head and body."""
+        """Send requests on one connection; return status, head and body."""
         reader, writer = await asyncio.open_connection(HOST, self.port)
         answers = []
         for raw in requests:
@@ -186,7 +186,7 @@
         return answers
 
     async def test_statuses(self) -> None:
-        """Each refusal says what it is, and only true ones say not run."""
+        """Each ending has its status, and only 503 has a Retry-After."""
         cases: tuple[tuple[str, bytes, Behaviour, int], ...] = (
             ('good', request('/a/x'), says(GOOD), 200),
             ('no route', request('/b/x'), says(GOOD), 404),
@@ -203,7 +203,7 @@
                 self.assertEqual(b'Retry-After' in head, status == 503)
 
     def set_max_age(self, max_age_s: float) -> None:
-        """Believe for so long after the store was heard, from 100 s on."""
+        """Set the age at which the configuration, adopted at 100 s, is stale."""
         config_age = ConfigAgeTracker(
             self.clock, lambda: self.store_answered_at, max_age_s
         )
@@ -213,7 +213,7 @@
     async def unplaced_lines(
         self, sent_request: bytes
     ) -> list[dict[str, object]]:
-        """Send a request; give what the log tells of its place."""
+        """Send a request; return the log lines of calls without a place."""
         with self.assertLogs('linnetwood', 'INFO') as captured:
             log(Event.STARTED)
             await self.send(sent_request)
@@ -223,8 +223,8 @@
             if getattr(record, 'event', 0) == Event.CALL_UNPLACED
         ]
 
-    async def test_refusals_tell_how_old_the_belief_was(self) -> None:
-        """Each says why, by which configuration, and how old that is."""
+    async def test_refusals_log_the_age_of_the_configuration(self) -> None:
+        """Each logs its reason, the configuration and how old that is."""
         self.config_age.adopted(ROUTE_TABLE)
         self.store_answered_at = 102.5
         self.clock.at = 110.0
@@ -243,8 +243,8 @@
                     [dict(zip(UNPLACED_KEYS, values, strict=True))],
                 )
 
-    async def test_an_old_belief_refuses_for_now(self) -> None:
-        """Callers are told to come back, and the log why and how old it was."""
+    async def test_stale_configuration_refuses_with_a_retry_delay(self) -> None:
+        """Callers may retry; the log has the reason and the ages."""
         self.set_max_age(1.2)
         self.store_answered_at = 102.5
         self.clock.at = 103.75
@@ -260,7 +260,7 @@
                 with self.assertLogs('linnetwood', 'INFO') as captured:
                     status, head, body = (await self.send(sent_request))[0]
                 self.assertEqual((status, body), (503, b'belief-old'))
-                # A third of 15 s at most, and the last two fifths of that.
+                # At most a third of 15 s, in the last two fifths of that.
                 after_s = head.partition(b'Retry-After: ')[2].split()[0]
                 after_ms = round(float(after_s) * 1000)
                 self.assertIn(after_ms, range(2900, 5001))
@@ -280,8 +280,8 @@
                 )
         self.assertIn('code="belief-old"} 4.0', self.metrics.text().decode())
 
-    async def test_a_belief_within_its_time_refuses_for_good(self) -> None:
-        """What was confirmed a moment ago is told as it is."""
+    async def test_fresh_configuration_refuses_finally(self) -> None:
+        """Refusals by a configuration just confirmed have no retry delay."""
         self.set_max_age(1.2)
         self.store_answered_at = 102.5
         self.clock.at = 103.5
@@ -290,16 +290,16 @@
         self.assertEqual([answer[0] for answer in answers], [404, 401])
         self.assertEqual(len(await self.unplaced_lines(sent_requests[0])), 1)
 
-    async def test_known_routes_are_served_on_an_old_belief(self) -> None:
-        """A zone that is cut off serves what it can."""
+    async def test_stale_configuration_serves_known_routes(self) -> None:
+        """A zone that is cut off goes on serving the routes that it knows."""
         self.set_max_age(1.2)
         self.clock.at = 200.0
         await self.serve(says(GOOD))
         self.assertTrue(self.frontend.config_basis().is_stale)
         self.assertEqual((await self.send(request('/a/x')))[0][0], 200)
 
-    async def test_what_callers_wrote_is_cut(self) -> None:
-        """A line stays short, and says of a store never heard that it isn't."""
+    async def test_values_from_callers_are_cut_in_the_log(self) -> None:
+        """Log lines stay short; unknown ages are logged as -1."""
         long = 'x' * 2000
         sent_request = request(f'/{long}', host=long).replace(
             b'c-1', long.encode()
@@ -310,17 +310,17 @@
         ages = (line['config_age_ms'], line['store_age_ms'])
         self.assertEqual(ages, (-1, -1))
 
-    async def test_other_endings_tell_no_place(self) -> None:
-        """Answers, and refusals that no configuration changes, add no line."""
+    async def test_other_endings_log_no_unplaced_call(self) -> None:
+        """Answers, and refusals without any configuration, add no line."""
         await self.serve(says(GOOD))
         self.assertEqual(await self.unplaced_lines(request('/a/x')), [])
         self.route_table = RouteTable()
         self.assertEqual(await self.unplaced_lines(request('/a/x')), [])
 
-    async def test_calls_tell_by_which_configuration_they_were_read(
+    async def test_attempts_log_the_configuration_of_their_call(
         self,
     ) -> None:
-        """Of a call that outlasts its configuration the old one is told."""
+        """A call that outlasts its configuration logs the old one."""
         self.config_age.adopted(ROUTE_TABLE)
         self.store_answered_at = 99.0
         self.clock.at = 101.0
@@ -346,12 +346,12 @@
         self.assertEqual(self.frontend.config_basis().version, 2)
 
     async def test_no_configuration_yet(self) -> None:
-        """A process that knows none says so, not that there is no route."""
+        """Without a configuration a call gets 503, not 404."""
         self.route_table = RouteTable()
         self.assertEqual((await self.send(request('/a/x')))[0][0], 503)
 
-    async def test_limits_of_a_newer_configuration(self) -> None:
-        """They hold on a connection that was open before, too."""
+    async def test_new_limits_apply_to_open_connections(self) -> None:
+        """New limits apply from the second request of an open connection."""
         await self.serve(says(GOOD))
         plain = request('/a/x')
         long = plain.replace(b'\r\n', b'\r\nX-Fill: ' + b'f' * 900 + b'\r\n', 1)
@@ -370,24 +370,24 @@
         self.server.set_limits(CallLimits())
         self.assertEqual((await self.send(long))[0][0], 200)
 
-    async def test_kept_connection_serves_several(self) -> None:
-        """One connection carries calls one after the other."""
+    async def test_connection_serves_several_calls(self) -> None:
+        """A connection is kept open for the next call."""
         await self.serve(says(GOOD))
         answers = await self.send(request('/a/x'), request('/a/y'))
         self.assertEqual([answer[0] for answer in answers], [200, 200])
 
-    async def test_answers_of_a_stopping_process_close(self) -> None:
-        """Callers are sent elsewhere with their last answer."""
+    async def test_stopping_process_closes_connections(self) -> None:
+        """The last answer on a connection has a Connection: close."""
         await self.serve(says(GOOD))
         self.frontend.stopping = True
         _, head, body = (await self.send(request('/a/x')))[0]
         self.assertIn(b'Connection: close', head)
         self.assertEqual(body, b'fine')
 
-    async def test_late_calls_on_kept_connections_are_sent_elsewhere(
+    async def test_calls_to_a_leaving_process_are_refused(
         self,
     ) -> None:
-        """What may not finish before the process ends is not begun."""
+        """A call that may not finish before the process ends is not begun."""
         endpoint = await self.serve(says(GOOD))
         self.frontend.stopping = True
         self.frontend.leaving = True
@@ -397,8 +397,8 @@
         self.assertIn(b'Retry-After: 0.1', head)
         self.assertEqual(endpoint.requests, [])
 
-    async def test_idle_connections_are_closed_busy_ones_are_not(self) -> None:
-        """A stop cuts off no call."""
+    async def test_only_idle_connections_are_closed(self) -> None:
+        """Closing idle connections interrupts no call."""
         go = asyncio.Event()
 
         async def wait(
@@ -420,8 +420,8 @@
         go.set()
         self.assertEqual((await busy)[0][0], 200)
 
-    async def test_closed_connections_are_forgotten(self) -> None:
-        """A caller that comes and goes leaves nothing behind."""
+    async def test_closed_connections_are_dropped(self) -> None:
+        """Guard against a leak by callers that connect and leave."""
         for _ in range(3):
             _, writer = await asyncio.open_connection(HOST, self.port)
             writer.close()
@@ -430,8 +430,8 @@
             while self.frontend.unused_connections:
                 await asyncio.sleep(0)
 
-    async def test_departure_is_passed_on(self) -> None:
-        """The endpoint sees at once that nobody waits any more."""
+    async def test_disconnect_cancels_the_call(self) -> None:
+        """The endpoint sees at once that the caller has left."""
         gone = asyncio.Event()
 
         endpoint = await self.serve(notes_reset(gone))
--- a/tests/test_heeding.py
+++ b/tests/test_heeding.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves is heeded by the entry that hears it."""
+"""An entry acts on what endpoints report about themselves in answers."""
 
 import unittest
 
@@ -14,8 +14,8 @@
 CALLS = 6
 
 
-class NoticesHeededTest(unittest.IsolatedAsyncioTestCase):
-    """Two endpoints, the first of which is the better choice."""
+class EndpointNoticesTest(unittest.IsolatedAsyncioTestCase):
+    """Run calls at two endpoints, the first of which is preferred."""
 
     async def asyncSetUp(self) -> None:
         self.direct = test_direct.DirectTest()
@@ -25,24 +25,24 @@
         await self.direct.asyncTearDown()
 
     async def call_counts(self, first: Behaviour) -> list[int]:
-        """Give how many calls each endpoint gets of some in a row."""
+        """Return how many of several calls in a row each endpoint gets."""
         await self.direct.serve(first, says(GOOD))
         for _ in range(CALLS):
             await self.direct.call(Repeat.NEVER)
         return [len(server.requests) for server in self.direct.servers]
 
-    async def test_an_endpoint_that_says_it_leaves_gets_no_more(self) -> None:
-        """Guard against new work for one whose answers say that it leaves."""
+    async def test_leaving_endpoint_gets_no_more_calls(self) -> None:
+        """Guard against new calls to an endpoint that reports its departure."""
         self.assertEqual(await self.call_counts(says(LEAVING)), [1, CALLS - 1])
 
-    async def test_an_endpoint_that_asks_for_rest_gets_it(self) -> None:
-        """Guard against calls that come back during the rest asked for."""
+    async def test_endpoint_gets_no_calls_during_a_requested_rest(self) -> None:
+        """Guard against calls sent again during the rest that it asked for."""
         self.assertEqual(
             await self.call_counts(says(ASKS_FOR_REST)), [1, CALLS]
         )
 
-    async def test_nobody_left_says_when_one_may_be_asked_again(self) -> None:
-        """Guard against callers asked back while all endpoints rest."""
+    async def test_retry_delay_covers_the_rest_of_all_endpoints(self) -> None:
+        """Guard against callers told to retry while all endpoints rest."""
         await self.direct.serve(says(ASKS_FOR_REST))
         await self.direct.call(Repeat.NEVER)
         ending, _ = await self.direct.call(Repeat.NEVER)
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -1,7 +1,7 @@
-"""Calls over a way that holds bytes back: none begins behind the bound.
+"""Calls over a link that delays bytes: none begins after the version's bound.
 
-The way shakes hands at once and keeps the order of what it carries: what ends
-a connection comes out behind the request that it was to take back.
+The link completes handshakes at once and keeps the order of bytes, so the close
+of a connection arrives behind the request that it was to withdraw.
 """
 
 import asyncio
@@ -43,10 +43,10 @@
 
 MODEL = 'm'
 BOUND_S = 8
-# What the entries' margins allow for anyway.
+# The link delay that the margins of entries cover.
 USUAL_LINK_DELAY_S = 0.3
 READ_BYTES = 65536
-# A moment sooner or later than the last one.
+# Before or after the last time at which a call is sent.
 MOMENT_S = 0.001
 ENGINE = EngineProfile(
     slots=16,
@@ -79,7 +79,7 @@
 
 
 def call_at(now: float) -> DirectCall:
-    """Give a call that comes at a time."""
+    """Return a call that arrives at a time."""
     return DirectCall(
         CallHead(call_id='c-2', model=MODEL, prompt=100),
         ROUTE,
@@ -95,7 +95,7 @@
 
 
 class SlowLink:
-    """Carry connections to a port, and hold their bytes while it is shut."""
+    """Forward connections to a port; hold back their bytes while closed."""
 
     def __init__(self, port: int) -> None:
         self.open = asyncio.Event()
@@ -114,7 +114,7 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def drained(self) -> None:
-        """Wait until everything is through and both ends have closed."""
+        """Wait until all bytes are forwarded and both ends have closed."""
         await asyncio.gather(*self.tasks)
 
     async def _accept(
@@ -166,7 +166,7 @@
 
 
 class SlowLinkTest(unittest.IsolatedAsyncioTestCase):
-    """Call an engine of the old version shortly before its bound."""
+    """Call an engine with the old version shortly before its bound."""
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -209,7 +209,7 @@
         await self.engine.close()
 
     def dispatch(self) -> DirectDispatcher:
-        """Give what runs calls by the versions that are wanted."""
+        """Return a dispatcher with the wanted versions."""
         return DirectDispatcher(
             self.chooser,
             self.driver,
@@ -226,13 +226,13 @@
         )
 
     def name_version(self, left_s: float) -> float:
-        """Name a newer version, so long before its bound; give the bound."""
+        """Name a newer version whose bound is in `left_s`; return the bound."""
         bound = self.loop.time() + left_s
         self.wanted.add_named(MODEL, 2, bound - BOUND_S)
         return bound
 
     def report_delay(self, link_delay_s: float) -> None:
-        """Report how long bytes wait on the way, as the process there does."""
+        """Report the link delay, as the process beside the engine does."""
         news = EngineNews(
             number=1,
             serving=1,
@@ -241,23 +241,23 @@
         self.reports.handle_news(News(engine=news), (HOST, 0))
 
     async def wait_until(self, moment: float) -> None:
-        """Wait until a moment has passed."""
+        """Wait until a time of the loop's clock."""
         gone = asyncio.Event()
         self.loop.call_at(moment, gone.set)
         await gone.wait()
 
-    async def test_open_way(self) -> None:
+    async def test_fast_link(self) -> None:
         """A call begins on the old version while there is time for it."""
         self.name_version(2 * SEND_MARGIN_S)
         ending = await self.call()
         self.assertEqual(ending.outcome, Outcome.ANSWERED)
         self.assertEqual(len(self.engine.requests), 1)
 
-    async def test_slow_way_lets_nothing_begin_behind_the_bound(self) -> None:
-        """What a slow way brings behind the bound must not be a call.
+    async def test_slow_link_begins_no_call_after_the_bound(self) -> None:
+        """Bytes that a slow link delivers after the bound must not be a call.
 
-        The way was slow for a call before this one, and the process beside
-        the engine, to which the way leads as well, says so.
+        The link was slow for an earlier call, and the process beside the
+        engine, which is behind the same link, has reported the delay.
         """
         self.link.open.clear()
         earlier = asyncio.create_task(self.call())
@@ -275,8 +275,8 @@
         self.assertNotEqual(ending.outcome, Outcome.ANSWERED)
         self.assertEqual(len(self.engine.requests), 1)
 
-    async def test_slow_way_takes_back_earlier(self) -> None:
-        """What takes a call back has to arrive before the bound as well."""
+    async def test_calls_are_withdrawn_earlier_over_a_slow_link(self) -> None:
+        """The close that withdraws a call must arrive before the bound too."""
         link_delay_s = 0.7
         self.report_delay(link_delay_s)
         self.link.open.clear()
@@ -289,29 +289,29 @@
 
 
 class CountingDriver(CurlDriver):
-    """A driver that notes what would be sent, and sends nothing."""
+    """A driver that counts requests and sends none."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def begin(self, req: Request, receiver: Receiver) -> Transfer:
-        """Note it, and say that nobody could be reached."""
+        """Count the request and report that it could not connect."""
         self.count += 1
         receiver.done(Finish(whole=False, connected=False))
         return Transfer(receiver)
 
     def cancel(self, transfer: Transfer) -> None:
-        """Leave nothing behind."""
+        """Do nothing."""
 
 
 class LastMomentTest(unittest.TestCase):
-    """When a call is sent for the last time before a bound, in virtual time."""
+    """When a call may last be sent before a bound, in virtual time."""
 
-    def test_what_is_sent_has_time_to_begin(self) -> None:
-        """On any way a call has 0.4 s there before it is taken back."""
+    def test_calls_sent_have_time_to_begin(self) -> None:
+        """Over any link a call has 0.4 s there before it is withdrawn."""
         for link_delay_s in (0, 0.5, 1, 1.5):
             extra_delay_s = max(0, link_delay_s - USUAL_LINK_DELAY_S)
-            # A call that would be taken back a moment too soon, and one not.
+            # One call has just too little time, the other just enough.
             late_s = SEND_MARGIN_S + 2 * extra_delay_s
             for left_s, sent in (
                 (late_s - MOMENT_S, False),
@@ -324,9 +324,9 @@
 
 
 async def is_sent(link_delay_s: float, left_s: float) -> bool:
-    """Tell whether a call is sent, so long before its version's bound."""
+    """Tell whether a call is sent `left_s` before its version's bound."""
     loop = asyncio.get_running_loop()
-    # Bounds begin behind the start of all clocks.
+    # A bound must not lie before the start of the clock.
     await asyncio.sleep(2 * BOUND_S)
     directory = Directory()
     endpoint = Endpoint('i-1', 'pool', HOST, 1, 'z1', 16, ready=True)
@@ -353,9 +353,9 @@
 
 
 class ResumedTest(unittest.TestCase):
-    """A stream that is resumed on its own version."""
+    """Resume a stream on its own version."""
 
-    def test_closed_version_is_not_begun_on_again(self) -> None:
+    def test_stream_is_not_resumed_on_a_closed_version(self) -> None:
         """Nothing is sent on a version in the last 1.2 s of its bound."""
         directory = Directory()
         directory.update(
@@ -384,10 +384,10 @@
 
 
 class LinkDelayTest(unittest.TestCase):
-    """What is believed of a way."""
+    """The estimated delay of a link."""
 
-    def test_no_way_is_slower_than_any_that_was_met(self) -> None:
-        """Calls took 2 s to arrive at most."""
+    def test_link_delay_has_an_upper_limit(self) -> None:
+        """The estimate assumes that calls take at most 2 s to arrive."""
         stats = EndpointStats()
         for link_delay_s, extra_delay_s in (
             (0.3, 0),
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""How long a stream may be silent follows what its route promises."""
+"""The silence timeouts of a stream follow the targets of its route."""
 
 import dataclasses
 import unittest
@@ -23,10 +23,10 @@
 
 
 class SilenceTimeoutsTest(unittest.TestCase):
-    """Compare with when callers of such routes leave."""
+    """Compare with the times after which callers of such routes give up."""
 
     def test_routes(self) -> None:
-        """First, late first and next; callers leave a little later."""
+        """First event, late first event, next event; callers give up later."""
         cases = (
             (0.4, 0.4, (1.6, 2.88, 1.0)),
             (0.606, 0.6, (2.4, 4.32, 1.5)),
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,8 +1,8 @@
-"""Calls bound to regions, and zones that are evacuated; no network.
+"""Calls restricted to regions, and evacuated zones; no network.
 
 Load pattern: a share of the calls may be served in one region only, whose
-endpoints are a part of those that an entry hears; an availability zone is left
-alone while its calls go on, and comes back cold.
+endpoints are a part of those that report to an entry. An availability zone gets
+no new calls while its running calls finish, and is cold when it returns.
 """
 
 import json
@@ -36,7 +36,7 @@
 
 
 class Clock(SystemClock):
-    """A clock that is set."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -82,14 +82,14 @@
         )
 
     def entry(self, zone: str, number: int, **more: object) -> object:
-        """Give a plain server's entry."""
+        """Return the record of a plain server."""
         place = f'10.{list(REGIONS).index(zone)}.0.{number}1:80'
         plain = {key: ENTRY[key] for key in ENTRY if key != 'models'}
         more = {'service': 'desk', 'address': place, 'zone': zone, **more}
         return {**plain, **more}
 
     def zones_chosen(self, requirements: Requirements) -> set[str]:
-        """Give where calls go, each with its own lot."""
+        """Return the zones that calls with different lots are sent to."""
         found = set()
         for lot in range(CALLS):
             lot_need = Requirements(
@@ -103,12 +103,12 @@
         return found
 
     def evacuate_zones(self, *zones: str) -> None:
-        """Let the operators evacuate zones, all others back."""
+        """Let the operators evacuate these zones and no others."""
         written = {f'op/evacuate/{zone}': told({}) for zone in zones}
         self.feed.replace_all(Snapshot({**self.found, **written}, 12))
 
-    def test_bound_calls(self) -> None:
-        """They go to no other region, wherever they come in."""
+    def test_calls_stay_in_their_region(self) -> None:
+        """Calls go to no other region, whichever zone receives them."""
         for zone in REGIONS:
             for region, allowed in (
                 ('north', {'z1', 'z2'}),
@@ -122,8 +122,8 @@
                     )
                     self.assertLessEqual(found, allowed)
 
-    def test_second_attempts(self) -> None:
-        """Where all of the region were tried, nothing else is."""
+    def test_second_attempts_stay_in_their_region(self) -> None:
+        """After all endpoints of the region, no other is tried."""
         scope = RegionScope(frozenset(('south',)))
         tried = {
             endpoint.incarnation_id
@@ -133,8 +133,8 @@
         requirements = Requirements(DESK, 'z1', region_scope=scope)
         self.assertIsNone(self.chooser.choose(requirements, tried, 0))
 
-    def test_both_bounds_bind(self) -> None:
-        """Of a route and of an organisation; an empty one binds nothing."""
+    def test_restrictions_are_combined(self) -> None:
+        """A route and an organisation both restrict; an empty list doesn't."""
         self.assertEqual(intersect_regions((), ()), ANY_REGION)
         self.assertEqual(intersect_regions(['a'], ()).regions, {'a'})
         self.assertEqual(
@@ -142,8 +142,8 @@
         )
         self.assertFalse(intersect_regions(['a'], ['b']).allows('a'))
 
-    def test_decoded(self) -> None:
-        """Regions of routes and organisations, and what cold servers bear."""
+    def test_configuration_is_decoded(self) -> None:
+        """Regions of routes and organisations, and limits of cold servers."""
         route = {**ROUTE, 'allowed_regions': ['north']}
         tenant = {**CONFIG['tenants'][0], 'allowed_regions': ['south']}
         desk = {'name': 'desk', 'cold_per_s': 26.0, 'cold_start_s': 3.0}
@@ -159,8 +159,8 @@
         found = route_table.services['desk']
         self.assertEqual((found.cold_per_s, found.cold_start_s), (26, 3))
 
-    def test_an_evacuated_zone(self) -> None:
-        """Nothing goes there, until it is taken back; also bound calls."""
+    def test_evacuated_zone_gets_no_calls(self) -> None:
+        """No call goes there until the evacuation ends, also by region."""
         requirements = Requirements(DESK, 'z1')
         self.evacuate_zones('z1')
         self.assertNotIn('z1', self.zones_chosen(requirements))
@@ -169,7 +169,7 @@
         )
         self.evacuate_zones('z3')
         self.assertEqual(self.zones_chosen(south), {'nowhere'})
-        # What stands under the key does not matter.
+        # The value of the key does not matter.
         change = Change('op/evacuate/z1', Record(b'{[', 20))
         self.feed.apply_changes((change,))
         self.assertEqual(self.zones_chosen(requirements), {'z2'})
@@ -178,8 +178,8 @@
         self.evacuate_zones()
         self.assertNotIn('nowhere', self.zones_chosen(south))
 
-    def test_a_zone_that_comes_back(self) -> None:
-        """Its servers may be cold, and have not told yet."""
+    def test_returning_zone_counts_as_cold(self) -> None:
+        """Its servers may be cold but have not reported it yet."""
         self.chooser.entry_count = lambda: 39
         self.evacuate_zones('z1')
         self.evacuate_zones()
@@ -187,8 +187,8 @@
         self.clock.at += 2.1
         self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
-    def test_servers_that_are_cold(self) -> None:
-        """Each entry sends its part there until they are warm."""
+    def test_cold_servers_are_limited(self) -> None:
+        """Each entry sends only its quota there until they are warm."""
         self.chooser.entry_count = lambda: 39
         changes = [
             Change(f'servers/z1-{number}', told(self._cold(number)))
@@ -200,8 +200,8 @@
         self.clock.at += COLD_MS / 1000 + 0.1
         self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
-    def test_a_server_that_was_lost(self) -> None:
-        """It may come back cold before it says so."""
+    def test_lost_server_counts_as_cold(self) -> None:
+        """It may return cold before it reports so."""
         endpoint = self.directory.get('z3-1')
         assert endpoint is not None
         self.chooser.entry_count = lambda: 39
@@ -217,10 +217,10 @@
         return self.entry('z1', number, cold_remaining_ms=COLD_MS)
 
     def _adopt(self, route_table: RouteTable) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     def _changed(self) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
     def _evacuate(self, zones: frozenset[str]) -> None:
         self.directory.evacuate(zones, self.clock.now())
--- a/tests/test_severed.py
+++ b/tests/test_severed.py
@@ -1,4 +1,4 @@
-"""Streams whose connections go silent for good, at once and without a reset."""
+"""Streams whose connections all go silent at once, without a reset."""
 
 import asyncio
 import unittest
@@ -34,7 +34,7 @@
 
 
 class SeveredDriver(CurlDriver):
-    """Carry streams, until all that are open go silent at one moment."""
+    """Carry streams until all that are open go silent at the same time."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -44,7 +44,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def begin(self, req: Request, receiver: Receiver) -> Transfer:
-        """Send a stream from behind the event that the caller has."""
+        """Send a stream from behind the last event that the caller has."""
         after = int(dict(req.headers).get('Last-Event-Id', '0'))
         self.begun.append((self.loop.time(), req.port, after))
         task = asyncio.create_task(self.send(receiver, after))
@@ -52,11 +52,11 @@
         return Transfer(receiver)
 
     def cancel(self, transfer: Transfer) -> None:
-        """Count what was given up."""
+        """Count cancelled transfers."""
         self.cancelled += 1
 
     async def send(self, receiver: Receiver, after: int) -> None:
-        """Send event by event; say nothing more once it is severed."""
+        """Send events at intervals; fall silent once the stream is severed."""
         began = self.loop.time()
         receiver.head(
             200,
@@ -73,7 +73,7 @@
 async def run_severed() -> tuple[
     SeveredDriver, list[RecordingSink], list[Outcome]
 ]:
-    """Run streams at two endpoints, all of which are severed midway."""
+    """Run streams at two endpoints and sever all of them midway."""
     loop = asyncio.get_running_loop()
     directory = Directory()
     for port in PORTS:
@@ -109,18 +109,18 @@
 
 
 class SeveredTest(unittest.TestCase):
-    """Virtual time."""
+    """Run in virtual time."""
 
-    def test_every_stream_goes_on_elsewhere(self) -> None:
-        """Guard against streams lost, doubled or mixed as connections hang."""
+    def test_every_stream_is_resumed_elsewhere(self) -> None:
+        """Guard against lost, repeated or mixed events of hanging streams."""
         driver, sinks, outcomes = virtual.run(run_severed())
         whole = events(*range(1, EVENTS + 1))
         self.assertEqual(set(outcomes), {Outcome.ANSWERED})
         self.assertEqual({sink.received for sink in sinks}, {whole})
         self.assertEqual(len(driver.begun), 2 * STREAMS)
 
-    def test_none_waits_for_longer_than_its_silence(self) -> None:
-        """Guard against callers that leave before the second one begins."""
+    def test_streams_are_resumed_within_the_silence_timeout(self) -> None:
+        """Guard against callers that give up before the second attempt."""
         driver, _, _ = virtual.run(run_severed())
         again = driver.begun[STREAMS:]
         silence_s = max(at for at, _, _ in again) - driver.severed_at
