--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -150,11 +150,11 @@
     async def run(
         self,
         call: DirectCall,
-        caller: AnswerSink,
+        sink: AnswerSink,
         urgency: Urgency = Urgency.IN_TIME,
     ) -> Ending:
         """Run the call; the answer has been sent if the ending is ANSWERED."""
-        answer = AnswerStream(caller, call.head.resume_after)
+        answer = AnswerStream(sink, call.head.resume_after)
         history = _AttemptHistory()
         budget = self._retry_budget(call.service.name)
         budget.earn()
--- a/src/linnetwood/calls/frontend.py
+++ b/src/linnetwood/calls/frontend.py
@@ -99,7 +99,7 @@
         # True once a new call may not finish before the process ends.
         self.leaving = False
         self.active_calls = 0
-        self.unused_connections: dict[object, _Request] = {}
+        self.idle_connections: dict[object, _Request] = {}
 
     def start_request(
         self,
@@ -108,17 +108,17 @@
     ) -> HTTPMessageDelegate:
         """Start reading one request."""
         req = _Request(self, server_conn, request_conn)
-        self.unused_connections[server_conn] = req
+        self.idle_connections[server_conn] = req
         return req
 
     def close_idle(self) -> None:
-        """Close the connections on which no request has arrived yet."""
-        for req in list(self.unused_connections.values()):
+        """Close the connections on which no request has begun."""
+        for req in list(self.idle_connections.values()):
             req.close()
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection that closed before a request arrived on it."""
-        self.unused_connections.pop(server_conn, None)
+        """Forget a connection that closed while no request was read on it."""
+        self.idle_connections.pop(server_conn, None)
 
 
 class _Request(HTTPMessageDelegate):
@@ -146,7 +146,7 @@
         headers: HTTPHeaders,
     ) -> None:
         """Store the head."""
-        self._frontend.unused_connections.pop(self._server_conn, None)
+        self._frontend.idle_connections.pop(self._server_conn, None)
         assert isinstance(start_line, RequestStartLine)
         self._start_line = start_line
         self._headers = list(headers.get_all())
--- a/tests/test_direct.py
+++ b/tests/test_direct.py
@@ -181,7 +181,7 @@
                     self.assertEqual(sink.received, b'')
 
     async def test_restart_is_no_proof_that_a_call_did_not_run(self) -> None:
-        """After a restart under the same id only repeatable calls are resent."""
+        """After a restart under the same id, only repeatable calls go on."""
 
         async def crash(
             reader: asyncio.StreamReader,
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -203,7 +203,7 @@
                 self.assertEqual(b'Retry-After' in head, status == 503)
 
     def set_max_age(self, max_age_s: float) -> None:
-        """Set the age at which the configuration, adopted at 100 s, is stale."""
+        """Set when the configuration, adopted at 100 s, becomes stale."""
         config_age = ConfigAgeTracker(
             self.clock, lambda: self.store_answered_at, max_age_s
         )
@@ -427,7 +427,7 @@
             writer.close()
             await writer.wait_closed()
         async with asyncio.timeout(30):
-            while self.frontend.unused_connections:
+            while self.frontend.idle_connections:
                 await asyncio.sleep(0)
 
     async def test_disconnect_cancels_the_call(self) -> None:
