--- a/src/linnetwood/calls/attempt.py
+++ b/src/linnetwood/calls/attempt.py
@@ -241,7 +241,9 @@
         if self._is_forwarded:
             if self._answer.cutter.half:
                 return AttemptResult(
-                    AttemptOutcome.LOST, reached=True, detail='half event'
+                    AttemptOutcome.LOST,
+                    reached=True,
+                    detail='incomplete last event',
                 )
             if not self._answer.begun:
                 return AttemptResult(
--- a/src/linnetwood/calls/dialect.py
+++ b/src/linnetwood/calls/dialect.py
@@ -73,7 +73,7 @@
         headers: Headers,
         call_id: str,
     ) -> Notice | None:
-        """Return what an endpoint reports of itself; None if not its answer."""
+        """Return an endpoint's report on itself, None for others' answers."""
 
     def answer_headers(self, headers: Headers) -> Headers:
         """Return the headers of an answer that are forwarded to the caller."""
--- a/src/linnetwood/calls/policy/firstattempts.py
+++ b/src/linnetwood/calls/policy/firstattempts.py
@@ -3,9 +3,9 @@
 The detection is for a load pattern: for some seconds more calls arrive than
 engines can run, and every refused caller retries once. Callers of a route have
 the same time in total, of which a retrying caller has spent a part. A call
-counts as a retry if that part is longer than its target, so that it is late
-already. Where callers differ in their total time, the time that they state
-shows nothing; an entry detects this itself.
+counts as a retry if that part is longer than the target of the route, since it
+is late already. Where callers differ in their total time, the time that they
+state shows nothing; an entry detects this itself.
 """
 
 import dataclasses
@@ -21,7 +21,7 @@
 _FORGET_AFTER_S = 30.0
 # Routes for which times are stored; calls of others count as first attempts.
 _MAX_ROUTES = 4096
-# After this, by the time that callers have, each refused caller has retried or
+# Callers have so little time that after this each refused caller has retried or
 # given up.
 _QUIET_AFTER_REFUSAL_S = 5.0
 # Of at least this many calls, no more than the share below may state clearly
@@ -71,10 +71,10 @@
     """
 
     __slots__ = (
-        '_previous_longest',
-        '_longest',
         '_counted_calls',
         '_counted_short',
+        '_longest',
+        '_previous_longest',
         '_refused_at',
         '_rotated_at',
     )
--- a/src/linnetwood/calls/policy/retryafter.py
+++ b/src/linnetwood/calls/policy/retryafter.py
@@ -58,7 +58,7 @@
 
 
 class SizedWindow:
-    """Spread retries over the time that it takes to admit that many calls.
+    """Spread retries over the time that it takes to admit the refused callers.
 
     A few refused callers retry soon, and many over all of the longest wait.
     """
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -46,7 +46,7 @@
 # The link delay that the margins of entries cover.
 USUAL_LINK_DELAY_S = 0.3
 READ_BYTES = 65536
-# Before or after the last time at which a call is sent.
+# Offset from the last time at which a call is sent.
 MOMENT_S = 0.001
 ENGINE = EngineProfile(
     slots=16,
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -69,20 +69,20 @@
             ),
             CrashFeed(CrashHistory(), self.clock),
         )
-        self.found = {
-            f'servers/{zone}-{number}': told(self.entry(zone, number))
+        self.records = {
+            f'servers/{zone}-{number}': told(self.endpoint_record(zone, number))
             for zone in REGIONS
             for number in range(EACH)
         }
-        self.feed.replace_all(Snapshot(self.found, 9))
+        self.feed.replace_all(Snapshot(self.records, 9))
         self.chooser.candidates.prefer_hosts(
             endpoint.host
             for endpoint in self.directory.all()
             if endpoint.host.endswith('1')
         )
 
-    def entry(self, zone: str, number: int, **more: object) -> object:
-        """Return the record of a plain server."""
+    def endpoint_record(self, zone: str, number: int, **more: object) -> object:
+        """Return the record of an endpoint of a plain service."""
         place = f'10.{list(REGIONS).index(zone)}.0.{number}1:80'
         plain = {key: ENTRY[key] for key in ENTRY if key != 'models'}
         more = {'service': 'desk', 'address': place, 'zone': zone, **more}
@@ -105,7 +105,7 @@
     def evacuate_zones(self, *zones: str) -> None:
         """Let the operators evacuate these zones and no others."""
         written = {f'op/evacuate/{zone}': told({}) for zone in zones}
-        self.feed.replace_all(Snapshot({**self.found, **written}, 12))
+        self.feed.replace_all(Snapshot({**self.records, **written}, 12))
 
     def test_calls_stay_in_their_region(self) -> None:
         """Calls go to no other region, whichever zone receives them."""
@@ -143,7 +143,7 @@
         self.assertFalse(intersect_regions(['a'], ['b']).allows('a'))
 
     def test_configuration_is_decoded(self) -> None:
-        """Regions of routes and organisations, and limits of cold servers."""
+        """Regions of routes and organisations, and limits of cold endpoints."""
         route = {**ROUTE, 'allowed_regions': ['north']}
         tenant = {**CONFIG['tenants'][0], 'allowed_regions': ['south']}
         desk = {'name': 'desk', 'cold_per_s': 26.0, 'cold_start_s': 3.0}
@@ -179,7 +179,7 @@
         self.assertNotIn('nowhere', self.zones_chosen(south))
 
     def test_returning_zone_counts_as_cold(self) -> None:
-        """Its servers may be cold but have not reported it yet."""
+        """Its endpoints may be cold but have not reported it yet."""
         self.chooser.entry_count = lambda: 39
         self.evacuate_zones('z1')
         self.evacuate_zones()
@@ -187,7 +187,7 @@
         self.clock.at += 2.1
         self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
-    def test_cold_servers_are_limited(self) -> None:
+    def test_cold_endpoints_are_limited(self) -> None:
         """Each entry sends only its quota there until they are warm."""
         self.chooser.entry_count = lambda: 39
         changes = [
@@ -200,7 +200,7 @@
         self.clock.at += COLD_MS / 1000 + 0.1
         self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
-    def test_lost_server_counts_as_cold(self) -> None:
+    def test_lost_endpoint_counts_as_cold(self) -> None:
         """It may return cold before it reports so."""
         endpoint = self.directory.get('z3-1')
         assert endpoint is not None
@@ -214,7 +214,7 @@
         )
 
     def _cold(self, number: int) -> object:
-        return self.entry('z1', number, cold_remaining_ms=COLD_MS)
+        return self.endpoint_record('z1', number, cold_remaining_ms=COLD_MS)
 
     def _adopt(self, route_table: RouteTable) -> None:
         """Do nothing."""
