--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -360,7 +360,9 @@
         notices = self._chooser.notices
         if notices.record(endpoint.incarnation_id, notice, now):
             known = notices.latest(endpoint.incarnation_id)
-            log_notice(endpoint, known, sent_attempt.call_id, notice.retry_after_s)
+            log_notice(
+                endpoint, known, sent_attempt.call_id, notice.retry_after_s
+            )
         self.on_notice(endpoint, now)
 
     def _note_begun(self, sent_attempt: SentAttempt) -> None:
--- a/tests/test_entrance.py
+++ b/tests/test_entrance.py
@@ -147,7 +147,9 @@
 
     def test_chooser_predicts_a_wait(self) -> None:
         """The prediction is of the endpoint that would be chosen."""
-        choice = self.chooser.choose(Requirements(POOL, 'z1', 1000, 'm'), (), 10)
+        choice = self.chooser.choose(
+            Requirements(POOL, 'z1', 1000, 'm'), (), 10
+        )
         assert isinstance(choice, Choice)
         self.assertGreater(choice.wait_s, 0)
 
--- a/tests/test_narrow_way.py
+++ b/tests/test_narrow_way.py
@@ -334,7 +334,12 @@
     chooser = Chooser(directory, Random(1))
     chooser.stats_of('i-1').record_report(
         Report(
-            0, 0, 1, changing=False, received_at=loop.time(), link_delay_s=link_delay_s
+            0,
+            0,
+            1,
+            changing=False,
+            received_at=loop.time(),
+            link_delay_s=link_delay_s,
         ),
     )
     wanted = WantedVersions(BOUND_S)
@@ -397,7 +402,9 @@
         ):
             stats.record_report(Report(0, 0, 1, False, 0, link_delay_s))
             with self.subTest(link_delay_s=link_delay_s):
-                self.assertAlmostEqual(stats.extra_link_delay_s(0.1), extra_delay_s)
+                self.assertAlmostEqual(
+                    stats.extra_link_delay_s(0.1), extra_delay_s
+                )
 
 
 if __name__ == '__main__':
