--- a/src/linnetwood/calls/attemptlog.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -22,14 +22,14 @@
 class LoadEstimate:
     """The estimated load of an endpoint when a call was sent there.
 
-    `waiting` and `running` count calls. `slow_ms` is the delay of the link
-    beyond what is usual.
+    `waiting` and `running` count calls. `extra_link_delay_ms` is the delay of
+    the link beyond what is usual.
     """
 
     waiting: float
     running: int
     report_age_ms: int
-    slow_ms: int
+    extra_link_delay_ms: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,8 +52,8 @@
     waiting, running = stats.estimate_work(now)
     report = stats.report
     age_ms = _UNKNOWN_MS if report is None else _ms(now - report.received_at)
-    slow_ms = _ms(stats.extra_link_delay_s(now))
-    return LoadEstimate(round(waiting, 1), running, age_ms, slow_ms)
+    extra_link_delay_ms = _ms(stats.extra_link_delay_s(now))
+    return LoadEstimate(round(waiting, 1), running, age_ms, extra_link_delay_ms)
 
 
 def count_attempt(
@@ -99,7 +99,7 @@
         waiting=estimate.waiting,
         running=estimate.running,
         report_age_ms=estimate.report_age_ms,
-        slow_ms=estimate.slow_ms,
+        slow_ms=estimate.extra_link_delay_ms,
         config_version=config_basis.version,
         config_age_ms=config_basis.config_age_ms,
         store_age_ms=config_basis.store_age_ms,
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -337,11 +337,11 @@
         self, choice: Choice, limits: AttemptLimits, now: float
     ) -> bool:
         """Tell whether the call has time at the endpoint before its bound."""
-        slow_s = self._chooser.stats_of(
+        extra_delay_s = self._chooser.stats_of(
             choice.endpoint.incarnation_id
         ).extra_link_delay_s(now)
-        remaining_s = limits.start_by - now - slow_s
-        return not slow_s or remaining_s >= _MIN_TIME_TO_BEGIN_S
+        remaining_s = limits.start_by - now - extra_delay_s
+        return not extra_delay_s or remaining_s >= _MIN_TIME_TO_BEGIN_S
 
     def _on_begun(
         self,
