--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -89,16 +89,16 @@
         return {**plain, **more}
 
     def zones_chosen(self, requirements: Requirements) -> set[str]:
-        """Return the zones that calls with different lots are sent to."""
+        """Return the zones that calls with different sample numbers go to."""
         found = set()
-        for lot in range(CALLS):
-            lot_need = Requirements(
+        for number in range(CALLS):
+            sampled = Requirements(
                 requirements.service,
                 requirements.zone,
-                sample_number=lot,
+                sample_number=number,
                 region_scope=requirements.region_scope,
             )
-            choice = self.chooser.choose(lot_need, (), self.clock.now())
+            choice = self.chooser.choose(sampled, (), self.clock.now())
             found.add(choice.endpoint.zone if choice else 'nowhere')
         return found
 
