--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""How long a stream may be silent follows what its route promises."""
+"""The silence timeouts of a stream follow the targets of its route."""
 
 import dataclasses
 import unittest
@@ -22,11 +22,11 @@
 )
 
 
-class SilenceTest(unittest.TestCase):
-    """Compare with when callers of such routes leave."""
+class SilenceTimeoutsTest(unittest.TestCase):
+    """Compare with the times after which callers of such routes give up."""
 
     def test_routes(self) -> None:
-        """First, late first and next; callers leave a little later."""
+        """First event, late first event, next event; callers give up later."""
         cases = (
             (0.4, 0.4, (1.6, 2.88, 1.0)),
             (0.606, 0.6, (2.4, 4.32, 1.5)),
@@ -38,8 +38,8 @@
             route = dataclasses.replace(ROUTE, target_s=target_s, gap_s=gap_s)
             found = dataclasses.astuple(SilenceTimeouts.for_route(route))
             with self.subTest(target_s=target_s, gap_s=gap_s):
-                for one, other in zip(found, expected, strict=True):
-                    self.assertAlmostEqual(one, other)
+                for actual, wanted in zip(found, expected, strict=True):
+                    self.assertAlmostEqual(actual, wanted)
 
 
 if __name__ == '__main__':
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -1,8 +1,8 @@
-"""Calls bound to regions, and zones that are evacuated; no network.
+"""Calls restricted to regions, and evacuated zones; no network.
 
 Load pattern: a share of the calls may be served in one region only, whose
-endpoints are a part of those that an entry hears; an availability zone is left
-alone while its calls go on, and comes back cold.
+endpoints are a part of those that report to an entry. An availability zone gets
+no new calls while its running calls finish, and is cold when it returns.
 """
 
 import json
@@ -36,7 +36,7 @@
 
 
 class Clock(SystemClock):
-    """A clock that is set."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.at = 100.0
@@ -45,7 +45,7 @@
         return self.at
 
 
-class PlacesTest(unittest.TestCase):
+class RegionsTest(unittest.TestCase):
     """Choose among endpoints of three zones in two regions."""
 
     def setUp(self) -> None:
@@ -69,44 +69,46 @@
             ),
             CrashFeed(CrashHistory(), self.clock),
         )
-        self.found = {
-            f'servers/{zone}-{number}': told(self.entry(zone, number))
+        self.records = {
+            f'servers/{zone}-{number}': told(self.endpoint_record(zone, number))
             for zone in REGIONS
             for number in range(EACH)
         }
-        self.feed.replace_all(Snapshot(self.found, 9))
+        self.feed.replace_all(Snapshot(self.records, 9))
         self.chooser.candidates.prefer_hosts(
-            one.host for one in self.directory.all() if one.host.endswith('1')
+            endpoint.host
+            for endpoint in self.directory.all()
+            if endpoint.host.endswith('1')
         )
 
-    def entry(self, zone: str, number: int, **more: object) -> object:
-        """Give a plain server's entry."""
+    def endpoint_record(self, zone: str, number: int, **more: object) -> object:
+        """Return the record of an endpoint of a plain service."""
         place = f'10.{list(REGIONS).index(zone)}.0.{number}1:80'
         plain = {key: ENTRY[key] for key in ENTRY if key != 'models'}
         more = {'service': 'desk', 'address': place, 'zone': zone, **more}
         return {**plain, **more}
 
-    def zones(self, requirements: Requirements) -> set[str]:
-        """Give where calls go, each with its own lot."""
+    def zones_chosen(self, requirements: Requirements) -> set[str]:
+        """Return the zones that calls with different sample numbers go to."""
         found = set()
-        for lot in range(CALLS):
-            one = Requirements(
+        for number in range(CALLS):
+            sampled = Requirements(
                 requirements.service,
                 requirements.zone,
-                sample_number=lot,
+                sample_number=number,
                 region_scope=requirements.region_scope,
             )
-            choice = self.chooser.choose(one, (), self.clock.now())
+            choice = self.chooser.choose(sampled, (), self.clock.now())
             found.add(choice.endpoint.zone if choice else 'nowhere')
         return found
 
-    def evacuated(self, *zones: str) -> None:
-        """Let the operators evacuate zones, all others back."""
+    def evacuate_zones(self, *zones: str) -> None:
+        """Let the operators evacuate these zones and no others."""
         written = {f'op/evacuate/{zone}': told({}) for zone in zones}
-        self.feed.replace_all(Snapshot({**self.found, **written}, 12))
+        self.feed.replace_all(Snapshot({**self.records, **written}, 12))
 
-    def test_bound_calls(self) -> None:
-        """They go to no other region, wherever they come in."""
+    def test_calls_stay_in_their_region(self) -> None:
+        """Calls go to no other region, whichever zone receives them."""
         for zone in REGIONS:
             for region, allowed in (
                 ('north', {'z1', 'z2'}),
@@ -115,24 +117,24 @@
             ):
                 scope = RegionScope(frozenset((region,)))
                 with self.subTest(zone=zone, region=region):
-                    found = self.zones(
+                    found = self.zones_chosen(
                         Requirements(DESK, zone, region_scope=scope)
                     )
                     self.assertLessEqual(found, allowed)
 
-    def test_second_attempts(self) -> None:
-        """Where all of the region were tried, nothing else is."""
+    def test_second_attempts_stay_in_their_region(self) -> None:
+        """After all endpoints of the region, no other is tried."""
         scope = RegionScope(frozenset(('south',)))
         tried = {
-            one.incarnation_id
-            for one in self.directory.all()
-            if one.zone == 'z3'
+            endpoint.incarnation_id
+            for endpoint in self.directory.all()
+            if endpoint.zone == 'z3'
         }
         requirements = Requirements(DESK, 'z1', region_scope=scope)
         self.assertIsNone(self.chooser.choose(requirements, tried, 0))
 
-    def test_both_bounds_bind(self) -> None:
-        """Of a route and of an organisation; an empty one binds nothing."""
+    def test_restrictions_are_combined(self) -> None:
+        """A route and an organisation both restrict; an empty list doesn't."""
         self.assertEqual(intersect_regions((), ()), ANY_REGION)
         self.assertEqual(intersect_regions(['a'], ()).regions, {'a'})
         self.assertEqual(
@@ -140,8 +142,8 @@
         )
         self.assertFalse(intersect_regions(['a'], ['b']).allows('a'))
 
-    def test_decoded(self) -> None:
-        """Regions of routes and organisations, and what cold servers bear."""
+    def test_configuration_is_decoded(self) -> None:
+        """Regions of routes and organisations, and limits of cold endpoints."""
         route = {**ROUTE, 'allowed_regions': ['north']}
         tenant = {**CONFIG['tenants'][0], 'allowed_regions': ['south']}
         desk = {'name': 'desk', 'cold_per_s': 26.0, 'cold_start_s': 3.0}
@@ -157,64 +159,68 @@
         found = route_table.services['desk']
         self.assertEqual((found.cold_per_s, found.cold_start_s), (26, 3))
 
-    def test_an_evacuated_zone(self) -> None:
-        """Nothing goes there, until it is taken back; also bound calls."""
+    def test_evacuated_zone_gets_no_calls(self) -> None:
+        """No call goes there until the evacuation ends, also by region."""
         requirements = Requirements(DESK, 'z1')
-        self.evacuated('z1')
-        self.assertNotIn('z1', self.zones(requirements))
+        self.evacuate_zones('z1')
+        self.assertNotIn('z1', self.zones_chosen(requirements))
         south = Requirements(
             DESK, 'z3', region_scope=RegionScope(frozenset(('south',)))
         )
-        self.evacuated('z3')
-        self.assertEqual(self.zones(south), {'nowhere'})
-        # What stands under the key does not matter.
+        self.evacuate_zones('z3')
+        self.assertEqual(self.zones_chosen(south), {'nowhere'})
+        # The value of the key does not matter.
         change = Change('op/evacuate/z1', Record(b'{[', 20))
         self.feed.apply_changes((change,))
-        self.assertEqual(self.zones(requirements), {'z2'})
+        self.assertEqual(self.zones_chosen(requirements), {'z2'})
         self.feed.apply_changes((Change('op/evacuate/z1', None),))
-        self.assertIn('z1', self.zones(requirements))
-        self.evacuated()
-        self.assertNotIn('nowhere', self.zones(south))
+        self.assertIn('z1', self.zones_chosen(requirements))
+        self.evacuate_zones()
+        self.assertNotIn('nowhere', self.zones_chosen(south))
 
-    def test_a_zone_that_comes_back(self) -> None:
-        """Its servers may be cold, and have not told yet."""
+    def test_returning_zone_counts_as_cold(self) -> None:
+        """Its endpoints may be cold but have not reported it yet."""
         self.chooser.entry_count = lambda: 39
-        self.evacuated('z1')
-        self.evacuated()
-        self.assertNotIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.evacuate_zones('z1')
+        self.evacuate_zones()
+        self.assertNotIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
         self.clock.at += 2.1
-        self.assertIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
-    def test_servers_that_are_cold(self) -> None:
-        """Each entry sends its part there until they are warm."""
+    def test_cold_endpoints_are_limited(self) -> None:
+        """Each entry sends only its quota there until they are warm."""
         self.chooser.entry_count = lambda: 39
         changes = [
             Change(f'servers/z1-{number}', told(self._cold(number)))
             for number in range(EACH)
         ]
         self.feed.apply_changes(tuple(changes))
-        self.assertNotIn('z1', self.zones(Requirements(COLD, 'z1')))
-        self.assertIn('z1', self.zones(Requirements(DESK, 'z1')))
+        self.assertNotIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones_chosen(Requirements(DESK, 'z1')))
         self.clock.at += COLD_MS / 1000 + 0.1
-        self.assertIn('z1', self.zones(Requirements(COLD, 'z1')))
+        self.assertIn('z1', self.zones_chosen(Requirements(COLD, 'z1')))
 
-    def test_a_server_that_was_lost(self) -> None:
-        """It may come back cold before it says so."""
-        one = self.directory.get('z3-1')
-        assert one is not None
+    def test_lost_endpoint_counts_as_cold(self) -> None:
+        """It may return cold before it reports so."""
+        endpoint = self.directory.get('z3-1')
+        assert endpoint is not None
         self.chooser.entry_count = lambda: 39
-        self.chooser.record_unreachable(COLD, one, self.clock.now())
-        self.assertTrue(self.directory.is_cold(one, self.clock.now() + 2.9))
-        self.assertFalse(self.directory.is_cold(one, self.clock.now() + 3.1))
+        self.chooser.record_unreachable(COLD, endpoint, self.clock.now())
+        self.assertTrue(
+            self.directory.is_cold(endpoint, self.clock.now() + 2.9)
+        )
+        self.assertFalse(
+            self.directory.is_cold(endpoint, self.clock.now() + 3.1)
+        )
 
     def _cold(self, number: int) -> object:
-        return self.entry('z1', number, cold_remaining_ms=COLD_MS)
+        return self.endpoint_record('z1', number, cold_remaining_ms=COLD_MS)
 
     def _adopt(self, route_table: RouteTable) -> None:
-        """Keep nothing."""
+        """Do nothing."""
 
     def _changed(self) -> None:
-        """Note nothing."""
+        """Do nothing."""
 
     def _evacuate(self, zones: frozenset[str]) -> None:
         self.directory.evacuate(zones, self.clock.now())
--- a/tests/test_severed.py
+++ b/tests/test_severed.py
@@ -1,4 +1,4 @@
-"""Streams whose connections go silent for good, at once and without a reset."""
+"""Streams whose connections all go silent at once, without a reset."""
 
 import asyncio
 import unittest
@@ -22,56 +22,58 @@
     Request,
     Transfer,
 )
-from tests.test_direct import Heard, events
+from tests.test_direct import RecordingSink, events
 from tests.test_narrow_way import ROUTE
 
 STREAMS = 20
 EVENTS = 10
-EVERY_S = 0.1
+EVENT_INTERVAL_S = 0.1
 SEVERED_AT = 0.55
 PORTS = (1, 2)
 POOL = Service('pool', 100)
 
 
 class SeveredDriver(CurlDriver):
-    """Carry streams, until all that are open go silent at one moment."""
+    """Carry streams until all that are open go silent at the same time."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.severed_at = self.loop.time() + SEVERED_AT
         self.begun: list[tuple[float, int, int]] = []
         self.cancelled = 0
-        self.sending: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()
 
     def begin(self, req: Request, receiver: Receiver) -> Transfer:
-        """Send a stream from behind the event that the caller has."""
+        """Send a stream from behind the last event that the caller has."""
         after = int(dict(req.headers).get('Last-Event-Id', '0'))
         self.begun.append((self.loop.time(), req.port, after))
         task = asyncio.create_task(self.send(receiver, after))
-        self.sending.add(task)
+        self.tasks.add(task)
         return Transfer(receiver)
 
     def cancel(self, transfer: Transfer) -> None:
-        """Count what was given up."""
+        """Count cancelled transfers."""
         self.cancelled += 1
 
     async def send(self, receiver: Receiver, after: int) -> None:
-        """Send event by event; say nothing more once it is severed."""
+        """Send events at intervals; fall silent once the stream is severed."""
         began = self.loop.time()
         receiver.head(
             200,
             [('X-Attempt-Id', 'c-1'), ('X-Server-Signature', 's-1')],
         )
         for number in range(after + 1, EVENTS + 1):
-            await asyncio.sleep(EVERY_S)
+            await asyncio.sleep(EVENT_INTERVAL_S)
             if began < self.severed_at <= self.loop.time():
                 return
             receiver.body(events(number))
         receiver.done(Finish(whole=True, connected=True))
 
 
-async def played() -> tuple[SeveredDriver, list[Heard], list[Outcome]]:
-    """Run streams at two endpoints, all of which are severed midway."""
+async def run_severed() -> tuple[
+    SeveredDriver, list[RecordingSink], list[Outcome]
+]:
+    """Run streams at two endpoints and sever all of them midway."""
     loop = asyncio.get_running_loop()
     directory = Directory()
     for port in PORTS:
@@ -100,26 +102,26 @@
         now,
         now + ROUTE.timeout_s,
     )
-    callers = [Heard() for _ in range(STREAMS)]
-    running = [dispatcher.run(call, caller) for caller in callers]
+    sinks = [RecordingSink() for _ in range(STREAMS)]
+    running = [dispatcher.run(call, sink) for sink in sinks]
     endings = await asyncio.gather(*running)
-    return driver, callers, [one.outcome for one in endings]
+    return driver, sinks, [ending.outcome for ending in endings]
 
 
 class SeveredTest(unittest.TestCase):
-    """Virtual time."""
+    """Run in virtual time."""
 
-    def test_every_stream_goes_on_elsewhere(self) -> None:
-        """Guard against streams lost, doubled or mixed as connections hang."""
-        driver, callers, outcomes = virtual.run(played())
+    def test_every_stream_is_resumed_elsewhere(self) -> None:
+        """Guard against lost, repeated or mixed events of hanging streams."""
+        driver, sinks, outcomes = virtual.run(run_severed())
         whole = events(*range(1, EVENTS + 1))
         self.assertEqual(set(outcomes), {Outcome.ANSWERED})
-        self.assertEqual({one.received for one in callers}, {whole})
+        self.assertEqual({sink.received for sink in sinks}, {whole})
         self.assertEqual(len(driver.begun), 2 * STREAMS)
 
-    def test_none_waits_for_longer_than_its_silence(self) -> None:
-        """Guard against callers that leave before the second one begins."""
-        driver, _, _ = virtual.run(played())
+    def test_streams_are_resumed_within_the_silence_timeout(self) -> None:
+        """Guard against callers that give up before the second attempt."""
+        driver, _, _ = virtual.run(run_severed())
         again = driver.begun[STREAMS:]
         silence_s = max(at for at, _, _ in again) - driver.severed_at
         self.assertLessEqual(
