--- a/src/linnetwood/calls/candidates.py
+++ b/src/linnetwood/calls/candidates.py
@@ -1,18 +1,20 @@
-"""Which engines an entry hears and sends calls to first; no I/O or clock.
-
-Load pattern: many entries before many engines. If each entry heard each engine,
-talk would grow with the product of both. So each hears some engines of its
-availability zone and a few of each other zone, drawn by a hash of both names:
-each engine is heard by about as many entries.
-
-A call looks at two of these in its own zone, and at two elsewhere where neither
-will be in time. If each call took the best of all, every entry that hears of a
-free place would send there until the next report. In a first form of the model
-of `linnetwood-measure policy` (98 entries, 60 engines, a report every 0.25 s,
-one seed) calls in time a second rose from 77 to 197 at 1.6 times the capacity,
-from 134 to 230 at 1.3 times, and from 221 to 239 at the knee. Fewer than five
-engines in the own zone are all looked at, with all others that are heard: with
-seven entries before six engines two of them are worse at light load.
+"""Select the engines whose reports an entry gets and that it calls first.
+
+Load pattern: many entries and many engines. If each entry got the reports of
+each engine, control traffic would grow with the product of both. So each entry
+subscribes to some engines of its availability zone and to a few of each other
+zone, ranked by a hash of both names: each engine reports to about as many
+entries. This module uses no I/O and no clock.
+
+A call compares 2 of these in its own zone, and 2 of other zones if neither will
+be in time. If each call took the best of all, every entry that learns of a free
+slot would send there until the next report. In an early form of the model of
+`linnetwood-measure policy` (98 entries, 60 engines, a report every 0.25 s, 1
+seed) calls in time per second rose from 77 to 197 at 1.6 times the capacity,
+from 134 to 230 at 1.3 times, and from 221 to 239 at the knee. Fewer than 5
+engines in the own zone are all compared, together with all subscribed engines
+of other zones: with 7 entries and 6 engines, comparing 2 is worse at light
+load.
 """
 
 import dataclasses
@@ -21,32 +23,32 @@
 from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.fleet.members import hash64
 
-# Engines heard in the own zone: with fewer, reports come more often within the
-# same bytes, and a call looks at two of them.
+# Engines of the own zone to subscribe to: fewer can report more often within
+# the same bytes, and a call compares only 2 of them.
 MAX_SAME_ZONE = 8
-# Engines heard elsewhere, and in all where the own zone has few: so many that
-# the entries of one zone leave hardly any of the others' idle. Each one more
-# costs reports.
+# Engines of other zones to subscribe to, and the total if the own zone has few:
+# enough for the entries of one zone to use nearly all engines of the others.
+# Each additional engine costs reports.
 MIN_OTHER_ZONES = 8
 MIN_SUBSCRIBED = 16
-# So many engines of a zone are few: all are looked at.
+# Up to this number of engines in the own zone, all are compared.
 _MAX_COMPARED = 4
 
 
 def select_hosts(
     entry_host: str, zone: str, places: Mapping[str, str]
 ) -> dict[str, float]:
-    """Give the hosts to hear, each with how many entries this one stands for.
+    """Give the hosts to subscribe to, and how many entries this one stands for.
 
-    Places are zones by host. A host hears one in so many of the entries of
-    this zone, so that the sum over those it hears is the number of entries.
+    Places are zones by host. Each host gets the subscriptions of only a part of
+    the entries; the values it gets add up to about the number of all entries.
     """
     by_zone: dict[str, list[str]] = {}
     for listed_host, listed_zone in places.items():
         by_zone.setdefault(listed_zone, []).append(listed_host)
     same_zone = by_zone.pop(zone, [])
-    # Entries of a zone without engines draw alike: who hears them hears all of
-    # them, and can tell them of each other.
+    # Entries of a zone without engines select the same hosts, so that each of
+    # these knows all entries of the zone and can tell them of each other.
     key = entry_host if same_zone else zone
     selected = _ranked(key, same_zone)[:MAX_SAME_ZONE]
     stands_for = {host: len(same_zone) / len(selected) for host in selected}
@@ -65,7 +67,7 @@
     by_zone: Mapping[str, list[str]],
     max_hosts: int,
 ) -> dict[str, float]:
-    """Draw from each zone in turn, so that none is left out by chance."""
+    """Select from each zone in turn, so that none is left out by chance."""
     ranked = {
         zone: iter(_ranked(key, by_zone[zone]))
         for zone in _ranked(key, by_zone)
@@ -73,7 +75,7 @@
     selected: dict[str, list[str]] = {}
     for picked_zone, picked_host in _round_robin(ranked, max_hosts):
         selected.setdefault(picked_zone, []).append(picked_host)
-    # Where there are more zones than draws, each is drawn from now and then.
+    # With more zones than selections, each zone is selected by some entries.
     zones_per_selected = len(by_zone) / max(1, len(selected))
     stands_for = {
         zone: zones_per_selected * len(by_zone[zone]) / len(hosts)
@@ -110,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Group:
-    """Endpoints to look at together: all of them, or two by lot."""
+    """Endpoints to compare: all of them, or a sample of 2."""
 
     endpoints: list[Endpoint]
     is_sampled: bool = False
@@ -118,31 +120,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Partition:
-    """The endpoints of a service that are heard."""
+    """The preferred endpoints of a service, by zone."""
 
     same_zone: list[Endpoint]
     other_zones: list[Endpoint]
 
 
 class Candidates:
-    """Hold which engines to look at for a call: those heard, then the rest."""
+    """Give the engines to compare for a call, preferred ones first."""
 
     __slots__ = ('_change_count', '_directory', '_preferred_hosts', '_cache')
 
     def __init__(self, directory: Directory) -> None:
-        """Look at all of the directory until some are drawn."""
+        """Compare all of the directory until preferred hosts are set."""
         self._directory = directory
         self._preferred_hosts: frozenset[str] | None = None
         self._cache: dict[tuple[str, str], _Partition] = {}
         self._change_count = -1
 
     def prefer_hosts(self, hosts: Iterable[str]) -> None:
-        """Look first at the engines on these hosts."""
+        """Prefer the engines on these hosts."""
         self._preferred_hosts = frozenset(hosts)
         self._change_count = -1
 
     def groups(self, service: str, zone: str, now: float) -> Iterator[Group]:
-        """Yield whom to look at, from a zone; the next where none will do."""
+        """Yield groups for calls of a zone, the next one if none will do."""
         if self._preferred_hosts is not None:
             preferred = self._preferred(service, zone)
             same_zone = self._eligible(preferred.same_zone, now)
@@ -186,7 +188,7 @@
 
 
 def pick_two(endpoints: list[Endpoint], number: int) -> list[Endpoint]:
-    """Give two that a call's number picks, the same for the same list."""
+    """Pick two by a number, the same two for the same list."""
     count = len(endpoints)
     if count <= 2:
         return endpoints
--- a/src/linnetwood/calls/choice.py
+++ b/src/linnetwood/calls/choice.py
@@ -1,4 +1,4 @@
-"""Choose the endpoint for a call by what it is predicted to lose there."""
+"""Choose the endpoint for a call by its predicted wait plus penalties."""
 
 import dataclasses
 import math
@@ -17,23 +17,23 @@
 _OVERDUE_PENALTY_S = 1.0
 _BACKOFF_PENALTY_S = 4.0
 _SERVICE_CALL_S = 0.08
-# What bytes between zones cost, as a time to wait; delays come on top.
+# The cost of traffic between zones, as waiting time; link delays are extra.
 _OTHER_ZONE_COST_S = 0.015
-# Two delays to connect, one to ask and one back.
+# One-way delays: 2 to connect, 1 for the request and 1 for the answer.
 _LINK_DELAYS_PER_CALL = 4
-# Equals within this are chosen among by chance, so that entries don't herd.
+# Random spread between equal endpoints, so that entries don't herd.
 _JITTER_S = 0.01
 _FAILURE_PENALTY_S = 2.0
 _VERSION_CHANGE_PENALTY_S = 1.5
-# So long an endpoint is remembered that the list has lost.
+# Statistics of an endpoint outlive its record and its last report by this.
 _FORGET_AFTER_S = 10.0
-# Less stands against an endpoint that failed now and then.
+# An endpoint that fails now and then has a smaller penalty than this.
 _HEALTHY_PENALTY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Requirements:
-    """What a call asks of an endpoint."""
+    """What a call requires of an endpoint."""
 
     service: Service
     zone: str
@@ -43,35 +43,35 @@
     exact_version: int = 0
     urgent: bool = True
     region_scope: RegionScope = ANY_REGION
-    # Versions, and from when an endpoint on the usual way must serve them.
+    # Versions, and when an endpoint with the usual link delay must serve them.
     version_deadlines: tuple[tuple[int, float], ...] = ()
-    # A wait that is short enough, so that nobody else need be looked at.
+    # With a predicted wait up to this, no further endpoints are compared.
     acceptable_wait_s: float = math.inf
-    # By which endpoints are picked where there are many: one for each call, so
-    # that whoever is admitted is sent to one of those it was admitted for.
+    # Selects the endpoints to compare where there are many. It is fixed for a
+    # call, so that admission and sending compare the same endpoints.
     sample_number: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """An endpoint and the time to its first byte as predicted."""
+    """An endpoint and the predicted time to its first byte."""
 
     endpoint: Endpoint
     wait_s: float
     version: int = 0
     far: bool = False
-    # Plain services don't report: nothing is missed there.
+    # Plain services don't report and count as fresh.
     reporting: Reporting = Reporting.FRESH
 
 
 class Chooser:
-    """Predict each endpoint's wait and take the least."""
+    """Predict the wait at each endpoint and choose the shortest."""
 
     def __init__(self, directory: Directory, rng: Random) -> None:
         """Choose among the directory's endpoints."""
         self.stats: dict[str, EndpointStats] = {}
         self.candidates = Candidates(directory)
-        # How many entries share what endpoints bear that are cold or limited.
+        # How many entries share the rate limits of endpoints.
         self.entry_count: Callable[[], int] = _count_self
         self.notices = Notices()
         self._warmup_limiter = WarmupLimiter(rng, lambda: self.entry_count())
@@ -82,7 +82,7 @@
         self._rng = rng
 
     def stats_of(self, incarnation_id: str) -> EndpointStats:
-        """Give what is known of one life of an endpoint."""
+        """Give the statistics of one incarnation, new if there are none."""
         found = self.stats.get(incarnation_id)
         if found is None:
             found = EndpointStats()
@@ -97,10 +97,10 @@
     ) -> Choice | None:
         """Give the best endpoint not yet tried, or None.
 
-        Of many only two are looked at, and two elsewhere where neither will be
-        in time; all where none of these is able and heard. One whose reports
-        have stopped is taken only where nobody else is able, one that never
-        reported after those.
+        Of many endpoints only 2 are compared, and 2 of other zones if neither
+        will be in time; all are compared if none of these is eligible and
+        reporting. An endpoint whose reports have stopped is chosen only if no
+        other is eligible, and one that never reported comes after those.
         """
         best: Choice | None = None
         groups = self.candidates.groups(
@@ -138,9 +138,9 @@
         )
 
     def rate_limited_s(self, requirements: Requirements, now: float) -> float:
-        """Give in how long one that is at its limit, or rests, may have a call.
+        """Give the seconds until a limited or paused endpoint may get a call.
 
-        It is 0 where none does either.
+        It is 0 if no endpoint is limited or paused.
         """
         waits = (
             self._available_at(requirements.service, endpoint, now) - now
@@ -155,7 +155,7 @@
     def record_sent(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> None:
-        """Note that a call goes to an endpoint."""
+        """Record that a call is sent to an endpoint."""
         self._rate_limits.record_sent(
             self._rate_limit_target(service, endpoint), now
         )
@@ -167,16 +167,17 @@
     def record_unreachable(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> None:
-        """Note that an endpoint could not be reached: it may come back cold."""
+        """Record that an endpoint was unreachable: it may come back cold."""
         if service.cold_per_s:
             until = now + max(ASSUMED_COLD_S, service.cold_start_s)
             self._directory.mark_cold(endpoint.incarnation_id, until)
 
     def forget_unlisted(self, now: float) -> None:
-        """Drop what is known of endpoints that are no longer listed.
+        """Drop the statistics of endpoints that are no longer listed.
 
-        The list loses who is out of touch for a while, and tells of it again:
-        until its last report is that old, it is no newcomer.
+        The list drops an endpoint that is out of touch and names it again
+        later. Its statistics are kept until its last report is 10 s old, so
+        that it doesn't count as a new endpoint.
         """
         listed_ids = self._directory.incarnation_ids()
         self._warmup_limiter.forget_unlisted(listed_ids)
@@ -214,7 +215,7 @@
     ) -> Choice | None:
         best: tuple[tuple[Reporting, float], Choice] | None = None
         for endpoint in eligible:
-            # What is believed of a silent one is no reason to go past others.
+            # A prediction for one without reports must not beat the others.
             reporting = self._reporting(requirements, endpoint, now)
             wait_s = self.wait_s(requirements, endpoint, now)
             cost_s = wait_s + self._penalty_s(endpoint, now)
@@ -239,7 +240,7 @@
         number: int,
         now: float,
     ) -> list[Endpoint]:
-        """Give two by lot, of those with nothing against them if there are."""
+        """Pick two by the number, of the healthy ones if there are any."""
         healthy = [
             endpoint
             for endpoint in eligible
@@ -276,7 +277,7 @@
     def _available_at(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> float:
-        """Give from when on an endpoint takes a call, by its own word."""
+        """Give when an endpoint next takes a call, by what it reported."""
         if self.notices.is_empty:
             return -math.inf
         rate_limited_until = self._rate_limits.available_at(
@@ -297,7 +298,7 @@
     def _is_within_warmup_rate(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> bool:
-        """Tell whether one more call is this entry's part, if it is cold."""
+        """Tell whether this entry may send one more call to a cold endpoint."""
         per_s = service.cold_per_s
         if not per_s or not self._directory.is_cold(endpoint, now):
             return True
@@ -318,10 +319,10 @@
     def _min_version_on_arrival(
         self, requirements: Requirements, endpoint: Endpoint, now: float
     ) -> int:
-        """Give the oldest version for which a call comes there in time.
+        """Give the oldest version that a call sent now reaches in time.
 
-        On a slow way a call has to be sent earlier by so much. On the usual
-        way the need itself says what is due.
+        Over a link that is slower than usual a call must be sent earlier by the
+        extra delay. For the usual delay the requirements name the version.
         """
         extra_delay_s = self.stats_of(
             endpoint.incarnation_id
--- a/src/linnetwood/calls/directory.py
+++ b/src/linnetwood/calls/directory.py
@@ -1,4 +1,4 @@
-"""The endpoints that the platform lists, with no process before them."""
+"""Endpoints as the platform lists them; entries call them directly."""
 
 import dataclasses
 import math
@@ -7,19 +7,19 @@
 
 from linnetwood.calls.warmuplimiter import ASSUMED_COLD_S
 
-# A list that was away may have dropped entries of endpoints that live; they
-# are written again within about two seconds of its return. An endpoint that
-# left meanwhile may get nothing two seconds after that was acknowledged.
+# A list that was unreachable may have dropped records of running endpoints;
+# they are written again within about 2 s of its return. An endpoint that left
+# meanwhile must get no calls 2 s after its leaving was acknowledged.
 KEPT_AFTER_OUTAGE_S = 1.4
-# An outage ends some time before this process notices it.
-_OUTAGE_DETECTION_S = 3.0
-# As many ids as a fleet of 600 endpoints has in days of restarts.
+# An outage ends some time before this process notices that it has ended.
+_OUTAGE_GRACE_S = 3.0
+# Covers the ids of a fleet of 600 endpoints over days of restarts.
 _MAX_BORN_TIMES = 4096
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One endpoint as the platform lists it."""
+    """An endpoint as the platform lists it; times in seconds."""
 
     endpoint_id: str
     service: str
@@ -30,15 +30,15 @@
     ready: bool
     cold_s: float = 0
     versions: Mapping[str, int] = dataclasses.field(default_factory=dict)
-    # Unix milliseconds of its start; 0 where that is unknown.
+    # Unix time of its start in milliseconds; 0 if unknown.
     born: int = 0
     region: str = ''
 
     @property
     def incarnation_id(self) -> str:
-        """Name this life of the endpoint: it may start again under its id.
+        """Identify this start of the endpoint, which may restart under its id.
 
-        What is learned of an endpoint is kept by this name.
+        What an entry learns of an endpoint is stored under this identifier.
         """
         return (
             f'{self.endpoint_id}@{self.born}' if self.born else self.endpoint_id
@@ -46,32 +46,32 @@
 
     @property
     def incarnation_mark(self) -> int:
-        """Give a short mark of this life, to tell it from others there."""
+        """Give a CRC-32 of the incarnation id, short enough for datagrams."""
         return zlib.crc32(self.incarnation_id.encode())
 
 
 class Directory:
-    """Hold the newest list, and entries that an outage may have dropped."""
+    """Hold the newest list, and records that an outage may have dropped."""
 
     def __init__(self) -> None:
-        """Know nobody."""
-        # Grows whenever the list changes: what was derived of it is then old.
+        """Start with an empty list."""
+        # Grows with each change of the list, so that caches can be invalidated.
         self.change_count = 0
         self._endpoints: dict[str, Endpoint] = {}
         self._by_service: dict[str, dict[str, Endpoint]] = {}
         self._by_host: dict[str, str] = {}
         self._removal_due_at: dict[str, float] = {}
-        # Zones to whose endpoints nothing goes, and since when others are back.
+        # Zones whose endpoints get no calls, and when other zones came back.
         self.evacuated: frozenset[str] = frozenset()
         self._evacuation_ended_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
-        self._outage_at = -_OUTAGE_DETECTION_S
-        # Of the newest life of each endpoint that tells it, also of those that
-        # have gone: an entry of an older one may still arrive.
+        self._outage_at = -_OUTAGE_GRACE_S
+        # Start of the newest incarnation by endpoint id. Removed endpoints are
+        # included, since a record of an older incarnation may still arrive.
         self._latest_born: dict[str, int] = {}
 
     def evacuate(self, zones: frozenset[str], now: float) -> None:
-        """Take in which zones are to be left alone from now on."""
+        """Set the zones whose endpoints get no calls from now on."""
         if zones == self.evacuated:
             return
         for zone in self.evacuated - zones:
@@ -80,21 +80,21 @@
         self.change_count += 1
 
     def mark_cold(self, incarnation_id: str, until: float) -> None:
-        """Note until when one life is cold, as far as is known."""
+        """Record until when an incarnation is cold, as far as is known."""
         self._cold_until[incarnation_id] = until
 
     def cold_left_s(self, endpoint: Endpoint, now: float) -> float:
-        """Give for how long an endpoint is cold yet, as far as is known."""
+        """Give how long an endpoint is still cold, as far as is known."""
         return max(0, self._cold_until.get(endpoint.incarnation_id, now) - now)
 
     def is_cold(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether an endpoint is cold, or may be and has not told yet."""
+        """Tell whether an endpoint is cold, or may be and has not reported."""
         back_at = self._evacuation_ended_at.get(endpoint.zone, -math.inf)
         until = self._cold_until.get(endpoint.incarnation_id, -math.inf)
         return now < max(until, back_at + ASSUMED_COLD_S)
 
     def update(self, endpoint: Endpoint) -> None:
-        """Take in a new or changed entry; one of an older life is none."""
+        """Add or replace a record; ignore one of an older incarnation."""
         if endpoint.born:
             if endpoint.born < self._latest_born.get(endpoint.endpoint_id, 0):
                 return
@@ -111,24 +111,24 @@
         self._removal_due_at.pop(endpoint.endpoint_id, None)
 
     def mark_superseded(self, endpoint_id: str) -> None:
-        """Take in that a later life stands at an endpoint's address.
+        """Stop calls to an endpoint whose address has a later incarnation.
 
-        Nothing more goes there until the list tells of the endpoint again: who
-        it is now, and what it holds, is not known.
+        Until the list names the endpoint again, neither the identity of the
+        process at the address nor the versions that it holds are known.
         """
         known = self._endpoints.get(endpoint_id)
         if known is not None and known.ready:
             self.update(dataclasses.replace(known, ready=False))
 
     def discard(self, endpoint_id: str) -> None:
-        """Take in that an entry can't be read: it names nobody to use."""
+        """Remove an endpoint whose record is malformed."""
         self._remove(endpoint_id)
 
     def mark_removed(self, endpoint_id: str, now: float) -> None:
-        """Take in that an entry is gone; keep it a while after an outage."""
+        """Remove an endpoint; shortly after an outage, keep it for a time."""
         if endpoint_id not in self._endpoints:
             return
-        if now - self._outage_at < _OUTAGE_DETECTION_S:
+        if now - self._outage_at < _OUTAGE_GRACE_S:
             self._removal_due_at.setdefault(
                 endpoint_id, now + KEPT_AFTER_OUTAGE_S
             )
@@ -136,7 +136,7 @@
             self._remove(endpoint_id)
 
     def replace_all(self, listed: Mapping[str, Endpoint], now: float) -> None:
-        """Take in a whole list."""
+        """Replace the whole list."""
         missing = set(self._endpoints) - set(listed)
         for endpoint_id in missing:
             self.mark_removed(endpoint_id, now)
@@ -144,11 +144,11 @@
             self.update(endpoint)
 
     def note_outage(self, now: float) -> None:
-        """Note that the list could not be read just now."""
+        """Record that the list could not be read just now."""
         self._outage_at = now
 
     def expire(self, now: float) -> None:
-        """Forget the doubted entries whose time is over."""
+        """Remove endpoints that were kept after an outage and are overdue."""
         self._cold_until = {
             incarnation_id: until
             for incarnation_id, until in self._cold_until.items()
@@ -163,36 +163,36 @@
             self._remove(endpoint_id)
 
     def get(self, endpoint_id: str) -> Endpoint | None:
-        """Give one entry."""
+        """Give the endpoint of an id."""
         return self._endpoints.get(endpoint_id)
 
     def all(self) -> Iterator[Endpoint]:
-        """Yield every entry."""
+        """Yield every endpoint."""
         yield from self._endpoints.values()
 
     def incarnation_ids(self) -> set[str]:
-        """Give the names of the lives that are listed."""
+        """Give the identifiers of all listed incarnations."""
         return {
             endpoint.incarnation_id for endpoint in self._endpoints.values()
         }
 
     def at_host(self, host: str) -> Endpoint | None:
-        """Give the entry that was listed last at a host."""
+        """Give the endpoint that was listed last at a host."""
         return self._endpoints.get(self._by_host.get(host, ''))
 
     def of_service(self, service: str) -> Iterator[Endpoint]:
-        """Yield every entry of a service."""
+        """Yield every endpoint of a service."""
         yield from self._by_service.get(service, {}).values()
 
     def is_eligible(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether an endpoint takes new work."""
+        """Tell whether an endpoint may get new calls."""
         ready = endpoint.ready and endpoint.zone not in self.evacuated
         return ready and now < self._removal_due_at.get(
             endpoint.endpoint_id, math.inf
         )
 
     def eligible(self, service: str, now: float) -> list[Endpoint]:
-        """Give the endpoints of a service that take new work."""
+        """Give the endpoints of a service that may get new calls."""
         endpoints = self.of_service(service)
         return [
             endpoint
@@ -209,7 +209,7 @@
         self._remove_from_indexes(endpoint)
 
     def _remove_from_indexes(self, endpoint: Endpoint) -> None:
-        """Take an entry out of the tables; its address may be another's now."""
+        """Remove an endpoint; another one may own its address by now."""
         self._by_service[endpoint.service].pop(endpoint.endpoint_id)
         if self._by_host.get(endpoint.host) == endpoint.endpoint_id:
             self._by_host.pop(endpoint.host)
--- a/src/linnetwood/calls/engine.py
+++ b/src/linnetwood/calls/engine.py
@@ -1,8 +1,9 @@
-"""Predict how long an engine takes to its first token; no I/O or clock.
+"""Predict an engine's time to first token; no I/O or clock.
 
-An engine works in passes: a pass reads some prompt tokens and plays a few
-token steps for every call that writes. A call begins when one of the slots of
-the batch is free, and is read behind the calls that wait before it.
+An engine works in passes: a pass prefills some prompt tokens and runs a few
+decode steps for every call in the batch. A call starts when a slot of the batch
+is free, and its prompt is prefilled after those of the calls that waited
+before it.
 """
 
 import dataclasses
@@ -10,14 +11,14 @@
 
 _MILLION = 1000000
 _THOUSAND = 1000
-# A call waits for the pass under way, is read in the next, and its first event
-# goes out when that has played its steps.
+# A call waits for the current pass, is prefilled in the next one, and its first
+# event is sent after the decode steps of that pass.
 _PASSES_TO_FIRST_TOKEN = 2.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """What the operators state of an engine; times in seconds."""
+    """What the operators configured of an engine; times in seconds."""
 
     slots: int
     step_s: float
@@ -48,7 +49,7 @@
         return delay_s
 
     def prefill_s(self, prompt_tokens: int) -> float:
-        """Give the time that reading a prompt takes by itself."""
+        """Give the time to prefill a prompt alone."""
         token_pairs = prompt_tokens * prompt_tokens / 2
         return (
             prompt_tokens / self.prefill_tokens_per_s
@@ -56,7 +57,7 @@
         )
 
     def decode_step_s(self, running: int) -> float:
-        """Give the time of one token step with so many calls writing."""
+        """Give the time of one decode step with this many calls running."""
         context_tokens = running * (
             self.typical_prompt_tokens + self.typical_answer_tokens / 2
         )
@@ -67,7 +68,7 @@
         )
 
     def slot_interval_s(self) -> float:
-        """Give the time from one slot's falling free to the next, full up."""
+        """Give the time between two slots becoming free in a full engine."""
         slots = self.slots
         decode_s = (
             self.typical_answer_tokens * self.decode_step_s(slots) / slots
@@ -77,7 +78,7 @@
     def first_token_s(
         self, prompt_tokens: int, waiting: float, running: int
     ) -> float:
-        """Predict the time to the first token of a call that comes now."""
+        """Predict the time to first token of a call that arrives now."""
         free_slots = max(0, self.slots - running)
         prefilled_first = min(waiting, free_slots)
         slots_awaited = (
--- a/src/linnetwood/calls/entrycount.py
+++ b/src/linnetwood/calls/entrycount.py
@@ -1,21 +1,22 @@
-"""How many entries there are, from what endpoint processes hear; no I/O.
-
-Entries share a budget of second attempts without talk, so each has to know how
-many there are. Each process beside an engine adds up what the entries that
-greet it stand for. Over the engines of one zone the sum is exact, as every
-entry hears a fixed number of them; elsewhere it is right in the mean. So what
-the own zone's say is averaged, and the others' only where there are none.
+"""Count the entries by what endpoint processes report; no I/O.
+
+Entries share a budget of second attempts without messages to each other, so
+each has to know how many there are. Each endpoint process beside an engine adds
+up what its subscribed entries stand for. Averaged over the engines of the own
+zone the sum is exact, as every entry subscribes to a fixed number of them; for
+other zones it is correct on average. So the counts of the own zone are used,
+and those of other zones only if the own zone has none.
 """
 
-# How many entries share what all may do, until an endpoint process has told:
-# rather too many, since after a fault that took all of them, all guess at once.
+# Assumed number of entries until an endpoint process reports one. It is rather
+# too high, since after a fault of all endpoint processes all entries assume it.
 ASSUMED_ENTRIES = 100
-# A process that said nothing for so long is gone, or is heard no more.
+# An endpoint process without a report for this long is gone or unsubscribed.
 _EXPIRES_S = 4.0
 
 
 class _ProcessCount:
-    """What one process counted."""
+    """The count of one endpoint process."""
 
     __slots__ = ('received_at', 'entries', 'same_zone')
 
@@ -26,26 +27,26 @@
 
 
 class EntryCount:
-    """Average what endpoint processes told lately."""
+    """Average the recent counts of endpoint processes."""
 
     __slots__ = ('_counts', 'entries')
 
     def __init__(self) -> None:
-        """Guess, until somebody has told."""
+        """Assume a number until a count is reported."""
         self.entries = ASSUMED_ENTRIES
         self._counts: dict[str, _ProcessCount] = {}
 
     def record(
         self, host: str, entries: int, now: float, *, same_zone: bool
     ) -> None:
-        """Take in a count; 0 says that it is not known yet."""
+        """Store a count; 0 means that it is not known yet."""
         if entries:
             self._counts[host] = _ProcessCount(
                 entries, now, same_zone=same_zone
             )
 
     def update(self, now: float) -> bool:
-        """Work out the count anew; tell whether it has changed."""
+        """Recompute the number of entries; tell whether it has changed."""
         self._counts = {
             host: count
             for host, count in self._counts.items()
--- a/src/linnetwood/calls/limits.py
+++ b/src/linnetwood/calls/limits.py
@@ -1,18 +1,18 @@
-"""Hold to the limits that endpoints name, shared by all entries; no I/O.
+"""Keep to the rate limits that endpoints name, shared by all entries; no I/O.
 
-An endpoint in need names how many calls a second it takes from all entries
-together. Each entry that obeys alone would break that: 18 entries with one call
-each in 4 s are 18 where a limit of 1 a second allows 11. So an endpoint is sent
-to by turns whose pauses add up to less than its limit, whoever sends:
+An overloaded endpoint names how many calls per second it takes from all entries
+together. Entries that each keep to the limit alone would exceed it: 18 entries
+with 1 call each in 4 s send 18 calls where a limit of 1 per second allows 11.
+So each entry has a quota, a share of the limit, and paces its calls by it:
 
-- The process beside an engine hands out parts to the entries that hear it, who
-  send most of its calls, and leaves some for the others.
-- The others, and all entries before an endpoint without such a process, take
-  equal parts by how many entries there are.
+- The endpoint process beside an engine assigns quotas to the entries that are
+  subscribed to its reports, which send most of its calls, and leaves a rest.
+- All other entries, and all entries of an endpoint without such a process, use
+  equal quotas by the number of entries.
 
-A part needs no word of anybody else, so it holds in zones that are cut off.
-Every call takes a turn: second tries, resumed streams and calls that find out
-whether the limit still stands.
+A quota needs no message from other entries, so it also holds in zones that are
+cut off. Every call counts: second attempts, resumed streams, and calls that
+find out whether the limit still stands.
 """
 
 import dataclasses
@@ -26,22 +26,23 @@
 from linnetwood.calls.sendpacer import SendPacer
 from linnetwood.fleet.reportsubscribers import UNSUBSCRIBED_SHARE
 
-# Of the limit: half as much again is allowed, and five calls. Few entries come
-# in even turns; where many have small parts, chance needs more of what is left.
+# Shares of the limit to use: 1.5 times the limit plus 5 calls is allowed. A few
+# entries send evenly; with many small quotas, chance needs a larger reserve.
 _USED_SHARE = 0.75
 _USED_SHARE_SMALL_QUOTA = 0.5
-# Of the whole: about that of one of three dozen entries.
+# Smaller quotas than this share of the limit count as small: about that of one
+# of 36 entries.
 _SMALL_QUOTA_SHARE = 0.03
-# A turn is kept for so long: what is allowed counts within four seconds.
+# An unused send time is valid for this long: calls are counted over 4 s.
 _MAX_LATE_S = 1.0
-# An endpoint that takes nothing gets a call now and then: else nobody would
-# hear that it takes some again.
+# An endpoint with a limit of 0 gets a call now and then, since otherwise no
+# entry would learn that it takes calls again.
 _MIN_CALLS_PER_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateLimitTarget:
-    """An endpoint of a service, and what is known of it."""
+    """An endpoint of a service, and its statistics."""
 
     service: Service
     endpoint: Endpoint
@@ -49,7 +50,7 @@
 
 
 class RateLimits:
-    """Tell when this entry may send to an endpoint that names a limit."""
+    """Tell when this entry may send to an endpoint that names a rate limit."""
 
     __slots__ = ('_entry_count', '_notices', '_pacer')
 
@@ -59,13 +60,13 @@
         rng: Random,
         entry_count: Callable[[], int],
     ) -> None:
-        """Follow what endpoints say; know how many entries there are."""
+        """Use the limits in notices, shared by the given number of entries."""
         self._notices = notices
         self._entry_count = entry_count
         self._pacer = SendPacer(rng, _MAX_LATE_S)
 
     def available_at(self, target: RateLimitTarget, now: float) -> float:
-        """Give from when on a call may go to an endpoint; now for any time."""
+        """Give when a call may be sent to an endpoint; now without a limit."""
         incarnation_id = target.endpoint.incarnation_id
         limit_per_s = self._notices.latest(incarnation_id).limit_per_s
         if limit_per_s is None:
@@ -76,7 +77,7 @@
         )
 
     def record_sent(self, target: RateLimitTarget, now: float) -> None:
-        """Note that a call goes there."""
+        """Record that a call is sent there."""
         incarnation_id = target.endpoint.incarnation_id
         limit_per_s = self._notices.latest(incarnation_id).limit_per_s
         if limit_per_s is not None:
@@ -84,7 +85,7 @@
             self._pacer.schedule_next(incarnation_id, interval_s, now)
 
     def forget_unlisted(self, listed_ids: set[str]) -> None:
-        """Forget all others."""
+        """Forget the incarnations that are no longer listed."""
         self._pacer.forget_unlisted(listed_ids)
 
     def _interval_s(
@@ -102,7 +103,7 @@
         return 1 / (max(limit_per_s, _MIN_CALLS_PER_S) * used_share * quota)
 
     def _quota(self, target: RateLimitTarget, now: float) -> float:
-        """Give the part of an endpoint's limit that is this entry's."""
+        """Give this entry's share of an endpoint's limit."""
         equal_share = 1 / max(1, self._entry_count())
         if target.service.engine is None:
             return equal_share
--- a/src/linnetwood/calls/notices.py
+++ b/src/linnetwood/calls/notices.py
@@ -1,57 +1,57 @@
-"""What endpoints say of themselves in their answers; no I/O or clock.
+"""What endpoints report of themselves in their answers; no I/O or clock.
 
-It is kept by the life of an endpoint: one that starts again says it anew.
+Notices are stored by incarnation: a restarted endpoint reports anew.
 """
 
 import dataclasses
 import math
 from collections.abc import Collection
 
-# An endpoint that the list loses may be told of again, also after a long outage
-# of the store: so long what it said last is kept.
+# An endpoint that the list has dropped may be listed again, also after a long
+# outage of the store: its last notice is kept until then.
 _FORGET_AFTER_S = 600.0
-# A longer rest is taken for one of this: what it said may be in error.
+# A longer pause is cut to this, since the value may be an error.
 _MAX_RETRY_AFTER_S = 3600.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Notice:
-    """What the head of one answer says of the endpoint that gave it."""
+    """What the head of an answer says of the endpoint that gave it."""
 
-    # Calls a second that it takes from all entries; None where it names none.
+    # Calls per second that it takes from all entries; None without a limit.
     limit_per_s: float | None = None
-    # It takes nothing new any more.
+    # It takes no new calls any more.
     leaving: bool = False
-    # So long it wants nothing from the entry that it has turned away.
+    # Seconds in which it wants no calls from the entry that it has refused.
     retry_after_s: float = 0
-    # What could not be read, cut short.
+    # The text that could not be parsed, truncated.
     unreadable: str = ''
-    # Whether what it does not say holds no longer: only a call that ran shows
-    # that, since a refusal may leave things out.
+    # Whether a limit that is not named has ended. Only an answer to a call that
+    # ran shows that, since a refusal may leave headers out.
     complete: bool = False
 
 
 class Notices:
-    """Hold what each life said last."""
+    """Hold the latest notice of each incarnation."""
 
     __slots__ = ('_received_at', '_paused_until', '_notices')
 
     def __init__(self) -> None:
-        """Have heard nothing."""
+        """Start without notices."""
         self._notices: dict[str, Notice] = {}
         self._received_at: dict[str, float] = {}
         self._paused_until: dict[str, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no endpoint says anything, as is usual."""
+        """Tell whether no endpoint has a notice, as is usual."""
         return not (self._notices or self._paused_until)
 
     def record(self, incarnation_id: str, notice: Notice, now: float) -> bool:
-        """Take in the word of an answer that came at a time.
+        """Store the notice of an answer that came at a time.
 
-        Tell whether it says anything new. Of one that is older than what is
-        known only the leaving counts, which nothing ends.
+        Tell whether it changes anything. Of a notice that is older than the
+        stored one only the leaving counts, because leaving is final.
         """
         received_at = self._received_at.get(incarnation_id, now)
         if now < received_at:
@@ -66,17 +66,17 @@
         )
 
     def latest(self, incarnation_id: str) -> Notice:
-        """Give what a life said last."""
+        """Give the latest notice of an incarnation."""
         return self._notices.get(incarnation_id, _EMPTY)
 
     def available_at(self, incarnation_id: str) -> float:
-        """Give from when on a life takes calls at all; inf for never again."""
+        """Give when an incarnation next takes calls; inf for never."""
         if self.latest(incarnation_id).leaving:
             return math.inf
         return self._paused_until.get(incarnation_id, -math.inf)
 
     def forget_unlisted(self, listed_ids: Collection[str], now: float) -> None:
-        """Forget all others that said nothing for a while."""
+        """Forget old pauses, and old notices of unlisted incarnations."""
         for known_id, received_at in list(self._received_at.items()):
             if (
                 known_id not in listed_ids
@@ -93,10 +93,10 @@
     def _record_pause(
         self, incarnation_id: str, notice: Notice, now: float
     ) -> bool:
-        """Note a rest that is asked for; tell whether it begins with this.
+        """Store a requested pause; tell whether it begins now.
 
-        A later answer that asks for less shortens none: it may have been given
-        to a call that was under way before.
+        A later answer that asks for a shorter pause doesn't shorten it, since
+        it may answer a call that was sent before the pause.
         """
         if not notice.retry_after_s:
             return False
@@ -107,10 +107,9 @@
 
 
 def _merge(known: Notice, notice: Notice) -> Notice:
-    """Give what holds after an answer, by what held before.
+    """Combine the stored notice with that of a new answer.
 
-    A life that leaves does so for good: an answer without that word was begun
-    before it.
+    Leaving is final: an answer without it was begun before the endpoint left.
     """
     limit_per_s = notice.limit_per_s
     if limit_per_s is None and (notice.unreadable or not notice.complete):
--- a/src/linnetwood/calls/policy/lateness.py
+++ b/src/linnetwood/calls/policy/lateness.py
@@ -1,47 +1,49 @@
-"""How much sooner than its target a call must be predicted to begin.
-
-Load pattern: more calls than the engines take, for seconds or for good. An
-entry predicts by reports, and does not see what others have sent since; in
-overload that makes every prediction hopeful at the same time, all admit more,
-and calls in time fall to half of what the engines could do. So each entry
-corrects what it admits by what its own calls saw.
+"""Keep a margin between the predicted start of a call and its target.
+
+Load pattern: more calls than the engines can take, for seconds or permanently.
+An entry predicts by reports and doesn't see the calls that others have sent
+since. In overload all entries are therefore too optimistic at the same time and
+admit too many calls, and the calls that begin in time fall to half of what the
+engines could do. So each entry corrects its predictions by the waits of its own
+calls.
 """
 
 from typing import Protocol
 
-# A prediction is a mean; calls come this much later one time in four.
+# A prediction is a mean; in 1 case of 4 a call begins this much later.
 SPREAD_S = 0.06
-# A call's share in what is believed: large enough for bursts that last seconds.
+# The weight of one call: large enough to follow bursts of a few seconds.
 _LEARNING_RATE = 0.3
-# What was learned is halved in so many seconds, since an entry that refuses all
-# learns no more.
+# The learned error halves in this time, since an entry that refuses all calls
+# learns nothing new.
 _HALF_LIFE_S = 5.0
-# Of a route's target: with more, calls to an idle engine may be refused.
+# Bound of the correction as a share of the target: with more, calls to an idle
+# engine may be refused.
 _MAX_TARGET_SHARE = 0.5
 
 
 class Lateness(Protocol):
-    """Learn from an entry's own calls what to allow for; one a service."""
+    """Learn a margin from an entry's own calls; one instance per service."""
 
     def record(self, predicted_s: float, actual_s: float, now: float) -> None:
-        """Take in how long a call waited, or has waited so far."""
+        """Record how long a call waited, or has waited so far."""
 
     def margin_s(self, target_s: float, now: float) -> float:
-        """Give by how much sooner than a target calls must be predicted."""
+        """Give how long before the target calls must be predicted to begin."""
 
 
 class MeanLateness:
-    """Allow the usual spread, and the mean by which calls came later."""
+    """Use the usual spread plus the mean lateness of recent calls."""
 
     __slots__ = ('_updated_at', '_error_s')
 
     def __init__(self) -> None:
-        """Believe predictions."""
+        """Start without a correction."""
         self._error_s = float()
         self._updated_at = float()
 
     def record(self, predicted_s: float, actual_s: float, now: float) -> None:
-        """Take in how long a call waited, or has waited so far."""
+        """Record how long a call waited, or has waited so far."""
         error_s = self._error_at(now)
         self._error_s = error_s + _LEARNING_RATE * (
             actual_s - predicted_s - error_s
@@ -49,11 +51,11 @@
         self._updated_at = now
 
     def mean_lateness_s(self, target_s: float, now: float) -> float:
-        """Give by how much later than predicted calls with a target begin."""
+        """Give how much later than predicted calls begin, within a bound."""
         return min(max(0, self._error_at(now)), _MAX_TARGET_SHARE * target_s)
 
     def margin_s(self, target_s: float, now: float) -> float:
-        """Give by how much sooner than a target calls must be predicted."""
+        """Give how long before the target calls must be predicted to begin."""
         return SPREAD_S + self.mean_lateness_s(target_s, now)
 
     def _error_at(self, now: float) -> float:
--- a/src/linnetwood/calls/regionscope.py
+++ b/src/linnetwood/calls/regionscope.py
@@ -1,4 +1,4 @@
-"""Where a call may go, decided once at the door; no I/O or clock."""
+"""The regions that a call may be sent to, decided at admission; no I/O."""
 
 import dataclasses
 from collections.abc import Collection
@@ -6,10 +6,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RegionScope:
-    """The regions whose endpoints may receive a call; None stands for any.
+    """The regions whose endpoints may receive a call; None allows any.
 
-    It goes with the call to each choice: at admission, at a second attempt, and
-    where a stream is resumed.
+    It applies to each choice for the call: at admission, for a second attempt,
+    and when a stream is resumed.
     """
 
     regions: frozenset[str] | None = None
@@ -23,7 +23,7 @@
 
 
 def intersect_regions(*bounds: Collection[str]) -> RegionScope:
-    """Give what all bounds allow; an empty one allows every region."""
+    """Give the regions that all bounds allow; an empty bound allows any."""
     binding = [frozenset(bound) for bound in bounds if bound]
     if not binding:
         return ANY_REGION
--- a/src/linnetwood/calls/reportintake.py
+++ b/src/linnetwood/calls/reportintake.py
@@ -1,8 +1,8 @@
-"""Count what comes from an address for the life of the endpoint that said it.
+"""Assign reports from an address to the incarnation that sent them.
 
-An endpoint may start again under its id within its lease, so that the list
-never lacks it, and its address may be used again by another. Its start, by its
-own clock, tells its lives apart; no I/O or clock here.
+An endpoint may restart under its id within its lease, so that the list never
+lacks it, and another endpoint may reuse its address. The start time by its own
+clock tells its incarnations apart. This module uses no I/O and no clock.
 """
 
 from linnetwood.calls.choice import Chooser
@@ -17,14 +17,14 @@
     born: int,
     report: Report,
 ) -> Endpoint | None:
-    """Take in a report that came from a host, born at a Unix millisecond.
+    """Apply a report from a host whose process was born at a Unix millisecond.
 
-    Give the endpoint of which it says something new beside its load.
+    Give the endpoint if the report has a new notice of it, or None.
 
-    0 stands for an unknown start: the report is then of whoever is listed. One
-    of an older life is dropped. One of a newer life comes ahead of the list:
-    it may be of another endpoint that has the address now, so it counts for
-    nobody, but the life that is listed has ended.
+    With an unknown birth, 0, the report is of the listed endpoint. A report of
+    an older incarnation is dropped. A report of a newer incarnation comes ahead
+    of the list: it may be of another endpoint that has the address now, so it
+    is not used, but the listed incarnation has ended.
     """
     endpoint = directory.at_host(host)
     if endpoint is None:
--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -1,4 +1,4 @@
-"""Hear from the processes beside engines, and tell them what is wanted."""
+"""Exchange load reports and wanted versions with endpoint processes."""
 
 import asyncio
 import dataclasses
@@ -28,12 +28,12 @@
     News,
 )
 
-# An endpoint process tells the entries that it heard from within four of these.
+# An endpoint process reports to the entries that subscribed within 4 of these.
 SUBSCRIBE_EVERY_S = 1.0
-# While the list changes all the time, as in a crowd of starts, what is news is
-# told together; whoever is told later by this still has most of any bound.
+# While the list changes all the time, as when many endpoints start, changes are
+# sent together; this delay leaves the receivers most of any bound.
 _MIN_SUBSCRIBE_GAP_S = 0.1
-# What an answer said is told again if no report has it after this.
+# A notice is forwarded again if no report has it after this time.
 _FORWARD_AGAIN_AFTER_S = 0.5
 _NO_LIMIT = -1
 _THOUSAND = 1000
@@ -42,7 +42,7 @@
 
 
 class Reports:
-    """Own the exchange of an entry with the endpoint processes."""
+    """Run the datagram exchange of an entry with the endpoint processes."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         zone: str,
         selector: RelaySelector,
     ) -> None:
-        """Tell nothing yet; all endpoint processes listen on one port."""
+        """Send nothing yet; all endpoint processes listen on one port."""
         self.route_table = RouteTable()
         self.subscriptions = ReportSubscriptions(
             selector.me,
@@ -80,29 +80,29 @@
 
     @property
     def entry_count(self) -> int:
-        """Give how many entries share what all may do."""
+        """Give the number of entries that share limits and budgets."""
         return self._entry_count.entries
 
     async def start(self, host: str) -> None:
-        """Listen, and begin to tell."""
+        """Listen, and start sending subscriptions."""
         await self._news.start(host, self._port)
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop telling."""
+        """Stop sending and listening."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
         self._news.close()
 
     def request_neighbours(self, hosts: list[str]) -> None:
-        """Ask processes beside engines which other entries there are."""
+        """Ask endpoint processes which other entries there are."""
         asks = EntryAsks(zone=self._zone)
         addresses = [(host, self._port) for host in hosts]
         self._news.send(News(asks=asks), addresses)
 
     def forward_notice(self, endpoint: Endpoint, now: float) -> None:
-        """Pass on what an answer said, unless the engine's process tells it."""
+        """Forward an endpoint's notice unless its reports already have it."""
         stats = self._chooser.stats_of(endpoint.incarnation_id)
         recently = now - stats.notice_forwarded_at < _FORWARD_AGAIN_AFTER_S
         if stats.report is None or recently:
@@ -121,11 +121,11 @@
         self._news.send(News(said=forwarded), [(endpoint.host, self._port)])
 
     def wake(self) -> None:
-        """Look at once whether something changed that others should know."""
+        """Check now whether a change has to be sent."""
         self._wake.set()
 
     def handle_news(self, news: News, source: Address) -> None:
-        """Take in an engine's report, or which other entries there are."""
+        """Handle the report of an engine, or a list of other entries."""
         now = self._clock.now()
         if news.neighbours is not None:
             self._receive_neighbours(news.neighbours, now)
--- a/src/linnetwood/calls/reportsubscriptions.py
+++ b/src/linnetwood/calls/reportsubscriptions.py
@@ -1,4 +1,4 @@
-"""Greet the processes beside the engines that this entry hears."""
+"""Subscribe to the reports of engines, and send what this entry wants."""
 
 import dataclasses
 import itertools
@@ -21,19 +21,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ServiceSubscription:
-    """The engines of a service, and what was worked out of their places."""
+    """The engines of a service, and the subscriptions by their zones."""
 
     places: ZonesByHost
     digest: int
     revision: int
     stands_for: Mapping[str, float]
-    # At this pace all that is heard stays within its bound.
+    # With this interval all received reports stay within their bound.
     report_interval_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Announcement:
-    """What greetings are about, but for ages."""
+    """What subscriptions announce, without ages."""
 
     digests: Mapping[str, int]
     versions: Mapping[str, tuple[int, ...]]
@@ -45,7 +45,7 @@
 
 
 class ReportSubscriptions:
-    """Tell what is wanted to those that are to report."""
+    """Send subscriptions and wanted versions to endpoint processes."""
 
     def __init__(
         self,
@@ -55,9 +55,9 @@
         candidates: Candidates,
         wanted: WantedVersions,
     ) -> None:
-        """Greet as the entry of a host in an availability zone."""
+        """Subscribe as the entry of a host in an availability zone."""
         self.peers = PeerListServer()
-        # The revision of the platform's store that the directory is of.
+        # The store revision of which the directory is.
         self.revision: Callable[[], int] = _unknown
         self._entry_host = entry_host
         self._zone = zone
@@ -69,16 +69,17 @@
         self._announced: _Announcement | None = None
 
     def is_same_zone(self, host: str) -> bool:
-        """Tell whether a host that is heard is of this zone."""
+        """Tell whether a host is an engine of this zone."""
         return any(
             subscription.places.get(host) == self._zone
             for subscription in self._by_service.values()
         )
 
     def has_changed(self, route_table: RouteTable) -> bool:
-        """Tell whether there is news since this was asked last.
+        """Tell whether the announcement has changed since the last check.
 
-        Most changes of the list are of load and warmth, and no news here.
+        Most changes of the list are of load and warm-up, which subscriptions
+        don't include.
         """
         self._refresh(route_table)
         digests = {
@@ -99,7 +100,7 @@
         news: NewsSocket,
         port: int,
     ) -> None:
-        """Greet those heard of each service that has engines."""
+        """Send a subscription to the selected engines of each service."""
         self._refresh(route_table)
         self._number += 1
         for service, subscription in self._by_service.items():
@@ -111,7 +112,7 @@
                 self._send(message, subscription, news, port)
 
     def _refresh(self, route_table: RouteTable) -> None:
-        """Draw anew whom to hear where engines have come or gone."""
+        """Select engines anew for services whose engines have changed."""
         previous = self._by_service
         self._by_service = {
             service.name: subscription
@@ -181,7 +182,7 @@
         message.peers_digest = subscription.digest
         message.peers_revision = subscription.revision
         message.every_ms = int(subscription.report_interval_s * _MILLISECONDS)
-        # One encoding serves all hosts for which it says the same.
+        # Hosts with the same share get the same encoded message.
         hosts_by_share: dict[int, list[Address]] = defaultdict(list)
         for host, stands_for in subscription.stands_for.items():
             hosts_by_share[round(stands_for * _PERCENT)].append((host, port))
--- a/src/linnetwood/calls/routing.py
+++ b/src/linnetwood/calls/routing.py
@@ -1,4 +1,4 @@
-"""Decide which endpoint a call goes to; no I/O, clock or chance inside."""
+"""Choose the endpoint of a call; no I/O, clock or random source inside."""
 
 import dataclasses
 import math
@@ -22,9 +22,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that could take a call, and its load as known here.
+    """An endpoint that could take a call, and its load as known to this entry.
 
-    The load is calls in flight by slots: 1.0 means that all slots are taken.
+    The load is calls in flight divided by slots: at 1.0 all slots are in use.
     """
 
     member: Member
@@ -33,14 +33,14 @@
 
 
 class Policy(Protocol):
-    """Choose among the candidates."""
+    """Choose one of the candidates."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
         """Give one candidate; there is at least one."""
 
 
 class RandomPolicy:
-    """Choose blindly."""
+    """Choose at random."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
         """Give any candidate."""
@@ -48,24 +48,24 @@
 
 
 class RoundRobin:
-    """Choose in turn."""
+    """Choose each candidate in turn."""
 
     def __init__(self) -> None:
-        """Start at the first."""
+        """Start at the first candidate."""
         self._position = 0
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give the next candidate by name."""
+        """Give the next candidate in the order of VM ids."""
         self._position += 1
         ordered = sorted(candidates, key=lambda candidate: candidate.member.vm)
         return ordered[self._position % len(ordered)]
 
 
 class LeastKnownLoad:
-    """Choose the least loaded as far as this entry knows."""
+    """Choose the candidate with the least known load."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give a candidate with the lowest load, any of equals."""
+        """Give a candidate with the lowest load, a random one of equals."""
         lowest = min(candidate.load for candidate in candidates)
         return rng.choice(
             [candidate for candidate in candidates if candidate.load == lowest]
@@ -73,21 +73,20 @@
 
 
 class Probing:
-    """Choose the less loaded of two of those heard from within a second.
+    """Choose the less loaded of 2 candidates with a load report under 1 s old.
 
-    Each call asks one endpoint at random for its load, so an entry knows a
-    few loads that are fresh, and no two entries know the same few; asking
-    ahead of the choice is the idea of Prequal (Wydrowski and others, NSDI
-    2024). The least loaded of all the fresh would draw every call until the
-    next report.
+    Each call probes the load of one random endpoint, so an entry knows a few
+    fresh loads, and different entries know different ones. Probing ahead of the
+    choice follows Prequal (Wydrowski and others, NSDI 2024). The least loaded
+    of all fresh candidates would get every call until the next report.
     """
 
     def __init__(self) -> None:
-        """Fall back on two choices while little is known."""
+        """Fall back to two choices while few loads are fresh."""
         self._fallback = TwoChoices()
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give the best of the fresh ones."""
+        """Give the better of two fresh candidates."""
         fresh = [candidate for candidate in candidates if candidate.fresh]
         if len(fresh) < _MIN_FRESH:
             return self._fallback.choose(candidates, rng)
@@ -95,10 +94,10 @@
 
 
 class TwoChoices:
-    """Choose the less loaded of two at random, so that entries don't herd."""
+    """Choose the less loaded of 2 random candidates to avoid herding."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give the better of two candidates."""
+        """Give the less loaded of two candidates."""
         pair = rng.sample(candidates, min(2, len(candidates)))
         return min(pair, key=lambda candidate: candidate.load)
 
@@ -116,10 +115,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Load:
-    """What this entry knows of an endpoint's load.
+    """The load of an endpoint as known to this entry.
 
-    The report is the endpoint's own count when it last answered; sent is what
-    this entry has under way there now.
+    The report is the endpoint's own count of calls when it last answered; sent
+    is the number of calls that this entry has in flight there now.
     """
 
     reported: int = 0
@@ -129,21 +128,21 @@
     failed_at: float = -_FAILURE_RECENT_S
 
     def record_report(self, in_flight: int, now: float) -> None:
-        """Take in the endpoint's own count."""
+        """Store the endpoint's own count of calls."""
         self.reported = in_flight
         self.reported_at = now
         self.sent_at_report = self.sent
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the report is worth more than none."""
+        """Tell whether the report is recent enough to be used."""
         return now - self.reported_at < FRESH_S
 
     def failed_recently(self, now: float) -> bool:
-        """Tell whether an attempt there was lost a moment ago."""
+        """Tell whether an attempt there was lost recently."""
         return now - self.failed_at < _FAILURE_RECENT_S
 
     def estimate(self, now: float) -> int:
-        """Correct the report by what this entry began and ended since."""
+        """Correct the report by the calls of this entry since then."""
         if not self.is_fresh(now):
             return self.sent
         return max(self.sent, self.reported + self.sent - self.sent_at_report)
@@ -151,7 +150,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndpointQuery:
-    """What a call needs of an endpoint."""
+    """What a call requires of an endpoint; empty fields match any."""
 
     kind: str
     model: str = ''
@@ -160,11 +159,11 @@
 
 
 class Routes:
-    """Hold the fleet as this entry sees it, and choose."""
+    """Hold this entry's view of the endpoints, and choose."""
 
     def __init__(self, zone: str, policy: Policy, rng: Random) -> None:
-        """Know nobody yet."""
-        # How many entries share the endpoints, this one too.
+        """Start without endpoints."""
+        # How many entries share the endpoints, including this one.
         self.entry_count = 1
         self._zone = zone
         self._policy = policy
@@ -175,7 +174,7 @@
         self._declared_labels: dict[str, set[str]] = {}
 
     def member_changed(self, member: Member) -> None:
-        """Take in a newer statement about an endpoint."""
+        """Apply a newer member record of an endpoint."""
         if member.role != ENDPOINT:
             return
         if member.status == Health.DEAD:
@@ -185,7 +184,7 @@
             self._members[member.vm] = member
 
     def apply_config(self, deployment: Deployment) -> None:
-        """Take in which versions may answer for a model, best first."""
+        """Set which versions may answer for a model."""
         self._wanted_labels = {
             intent.model: {
                 version_label(intent.model, intent.version),
@@ -202,11 +201,11 @@
         }
 
     def load(self, vm: str) -> Load:
-        """Give the record of an endpoint's load."""
+        """Give the load of an endpoint, new if there is none."""
         return self._loads.setdefault(vm, Load())
 
     def knows(self, query: EndpointQuery) -> bool:
-        """Tell whether what is wanted is declared or present at all."""
+        """Tell whether the model is declared or the service has an endpoint."""
         if query.model:
             return query.model in self._declared_labels
         return any(
@@ -214,7 +213,7 @@
         )
 
     def slots(self, target: str) -> int:
-        """Give the slots of the endpoints that serve a model or service."""
+        """Give the total slots of the endpoints of a model or service."""
         return sum(
             member.slots
             for member in self._members.values()
@@ -229,7 +228,7 @@
         tried: Collection[str],
         now: float,
     ) -> Member | None:
-        """Give the endpoint for a call, or None when there is none."""
+        """Give the endpoint for a call, or None if there is none."""
         able = self._candidates(query, tried)
         if not able:
             return None
@@ -240,7 +239,7 @@
         return self._policy.choose(candidates, self._rng).member
 
     def sample(self, query: EndpointQuery) -> Member | None:
-        """Give an endpoint at random to ask for its load."""
+        """Give a random endpoint to probe for its load."""
         able = self._candidates(query, ())
         return self._rng.choice(able) if able else None
 
@@ -259,15 +258,15 @@
         found = [member for member in able if member.serving in wanted]
         if found:
             return found
-        # Versions changed faster than they arrived: any declared one is whole.
+        # Versions changed faster than they arrived: use any declared one.
         declared = self._declared_labels.get(model, set())
         return [member for member in able if member.serving in declared]
 
     def _has_room(self, member: Member, now: float) -> bool:
-        """Tell whether it is sound and this entry's part of it isn't full.
+        """Tell whether it is healthy and has free slots for this entry.
 
-        Entries that each keep to their part never fill an endpoint together,
-        however late they hear of its load.
+        Entries that each keep to their share never overfill an endpoint
+        together, however late they learn its load.
         """
         load = self.load(member.vm)
         if member.status == Health.SUSPECT or load.failed_recently(now):
--- a/src/linnetwood/calls/warmuplimiter.py
+++ b/src/linnetwood/calls/warmuplimiter.py
@@ -1,9 +1,9 @@
-"""Share out among entries what a cold endpoint bears; no I/O or clock.
+"""Divide the call rate of a cold endpoint among all entries; no I/O or clock.
 
-The endpoints of a zone come back cold at one moment, and each of N entries
-would send its part of the full load at once. A cold endpoint bears so many
-calls a second over all entries, so each takes turns there, N times as far apart
-as one alone would.
+All endpoints of a zone may come back cold at once, and each of N entries would
+send its share of the full load immediately. A cold endpoint takes a limited
+number of calls per second from all entries together, so each entry sends at
+intervals N times as long as a single entry would.
 """
 
 from collections.abc import Callable
@@ -11,30 +11,30 @@
 
 from linnetwood.calls.sendpacer import SendPacer
 
-# Of the rate that is borne: what entries that come, die and count each other
-# late add to it has to fit into the rest, and into what is allowed over it.
+# The share of the configured rate to use. The rest, and what is tolerated above
+# the rate, covers entries that start, die or have an old count of each other.
 _USED_SHARE = 0.9
-# A turn is kept for so long: what is allowed counts within a second.
+# An unused send time is valid for this long: calls are counted over 1 s.
 _MAX_LATE_S = 0.1
-# A zone whose evacuation ends, or an endpoint that was lost, is held to be cold
-# for so long, until its own word may be there: heartbeats come every 1.2 s.
+# After the end of an evacuation, and after an endpoint was unreachable, it is
+# assumed cold for this time, until its own heartbeat may tell: every 1.2 s.
 ASSUMED_COLD_S = 2.0
 
 
 class WarmupLimiter(SendPacer):
-    """Hold when this entry may next send to each cold endpoint."""
+    """Pace the calls of this entry to each cold endpoint."""
 
     __slots__ = ('_entry_count',)
 
     def __init__(self, rng: Random, entry_count: Callable[[], int]) -> None:
-        """Share with as many entries as there are now."""
+        """Share the rate with the current number of entries."""
         super().__init__(rng, _MAX_LATE_S)
         self._entry_count = entry_count
 
     def may_send(
         self, incarnation_id: str, calls_per_s: float, now: float
     ) -> bool:
-        """Tell whether a call may go to a cold endpoint now."""
+        """Tell whether a call may be sent to a cold endpoint now."""
         return now >= self.next_send_at(
             incarnation_id, self._interval_s(calls_per_s), now
         )
@@ -42,7 +42,7 @@
     def record_sent(
         self, incarnation_id: str, calls_per_s: float, now: float
     ) -> None:
-        """Note that a call goes there."""
+        """Record that a call is sent there."""
         self.schedule_next(incarnation_id, self._interval_s(calls_per_s), now)
 
     def _interval_s(self, calls_per_s: float) -> float:
