--- a/src/linnetwood/lab/measure_routing.py
+++ b/src/linnetwood/lab/measure_routing.py
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from linnetwood.calls.routing import POLICIES, Routes, EndpointQuery
+from linnetwood.calls.routing import POLICIES, EndpointQuery, Routes
 from linnetwood.fleet.members import ENDPOINT, Health
 from linnetwood.fleet.placement import ENGINE_KIND
 from linnetwood.gen.schema.ttypes import (
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -6,10 +6,10 @@
 from linnetwood.calls.retries import RetryBudget, may_retry
 from linnetwood.calls.routing import (
     POLICIES,
+    EndpointQuery,
     Load,
     Policy,
     Routes,
-    EndpointQuery,
 )
 from linnetwood.core.outcomes import Code, Ending, Outcome, not_run, unknown
 from linnetwood.fleet.members import Health, copy
