--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -1,7 +1,7 @@
-"""Which engines an entry hears, how many hear each, and where calls go then.
+"""Which engines an entry subscribes to, and how calls spread over engines.
 
-Load pattern: many entries before many engines, calm or with one zone's engines
-full. Everything here is worked out; nothing runs.
+Load pattern: many entries and many engines, under even load or with the engines
+of one zone full. Everything is computed; no process runs.
 """
 
 import unittest
@@ -17,102 +17,111 @@
 from linnetwood.calls.directory import Directory, Endpoint
 from linnetwood.calls.entrycount import ASSUMED_ENTRIES, EntryCount
 from linnetwood.fleet.members import hash64
-from tests.test_directory import FIGURES, POOL, report
+from tests.test_directory import POOL, PROFILE, report
 
 SIZES = ((7, 6, 3), (40, 23, 3), (98, 60, 5), (98, 102, 5), (410, 600, 10))
 
 
-def placed(prefix: str, count: int, zones: int) -> dict[str, str]:
+def zones_by_host(prefix: str, count: int, zones: int) -> dict[str, str]:
     """Spread hosts evenly over zones."""
-    return {f'{prefix}{one}': f'z{one % zones}' for one in range(count)}
+    return {
+        f'{prefix}{number}': f'z{number % zones}' for number in range(count)
+    }
 
 
-def drawn(size: tuple[int, int, int]) -> dict[str, dict[str, float]]:
-    """Give what each entry of a fleet hears."""
+def subscriptions(size: tuple[int, int, int]) -> dict[str, dict[str, float]]:
+    """Give the hosts that each entry of a fleet subscribes to."""
     entries, engines, zones = size
-    places = placed('e', engines, zones)
+    places = zones_by_host('e', engines, zones)
     return {
-        me: select_hosts(me, zone, places)
-        for me, zone in placed('a', entries, zones).items()
+        entry: select_hosts(entry, zone, places)
+        for entry, zone in zones_by_host('a', entries, zones).items()
     }
 
 
-class DrawTest(unittest.TestCase):
-    """Draw for whole fleets."""
+class SelectHostsTest(unittest.TestCase):
+    """Select hosts for whole fleets."""
 
-    def test_nobody_hears_more_than_a_bounded_number(self) -> None:
-        """All of a small fleet are heard, and few of a large one."""
+    def test_subscriptions_of_an_entry_are_bounded(self) -> None:
+        """An entry subscribes to all of a small fleet, few of a large one."""
         for size in SIZES:
             with self.subTest(size=size):
-                most = max(len(one) for one in drawn(size).values())
+                most = max(len(hosts) for hosts in subscriptions(size).values())
                 self.assertLessEqual(most, MAX_SAME_ZONE + MIN_SUBSCRIBED)
                 self.assertGreaterEqual(most, min(size[1], MIN_SUBSCRIBED))
 
-    def test_each_engine_is_heard_by_about_as_many(self) -> None:
-        """Engines are heard by a quarter of the mean to twice the mean."""
+    def test_subscribers_are_spread_evenly_over_engines(self) -> None:
+        """Each engine has between a quarter of the mean and twice the mean."""
         for size in SIZES:
             with self.subTest(size=size):
-                heard = Counter(
-                    host for one in drawn(size).values() for host in one
+                subscribers = Counter(
+                    host
+                    for hosts in subscriptions(size).values()
+                    for host in hosts
                 )
-                mean = heard.total() / size[1]
-                self.assertEqual(len(heard), size[1])
-                self.assertLess(max(heard.values()), 2 * mean)
-                self.assertGreater(min(heard.values()), mean / 4)
+                mean = subscribers.total() / size[1]
+                self.assertEqual(len(subscribers), size[1])
+                self.assertLess(max(subscribers.values()), 2 * mean)
+                self.assertGreater(min(subscribers.values()), mean / 4)
 
-    def test_what_greetings_stand_for(self) -> None:
+    def test_what_subscriptions_stand_for(self) -> None:
         """Over the engines of a zone the mean is the number of entries."""
         for size in SIZES[:-1]:
-            found = drawn(size)
+            found = subscriptions(size)
             for zone in range(size[2]):
                 hosts = [
                     host
-                    for host, place in placed('e', size[1], size[2]).items()
-                    if place == f'z{zone}'
+                    for host, host_zone in zones_by_host(
+                        'e', size[1], size[2]
+                    ).items()
+                    if host_zone == f'z{zone}'
                 ]
-                told = [
-                    sum(one.get(host, 0) for one in found.values())
+                counts = [
+                    sum(
+                        stands_for.get(host, 0) for stands_for in found.values()
+                    )
                     for host in hosts
                 ]
                 with self.subTest(size=size, zone=zone):
-                    self.assertAlmostEqual(sum(told) / len(told), size[0])
-
-    def test_every_zone_is_heard(self) -> None:
-        """None is left out by chance while there is room for all."""
-        places = placed('e', 60, 5)
-        for me, one in drawn((98, 60, 5)).items():
-            with self.subTest(me=me):
-                self.assertEqual(len({places[host] for host in one}), 5)
-
-    def test_few_draw_anew_when_an_engine_comes(self) -> None:
-        """One more engine changes one place of a draw at most."""
-        before = placed('e', 60, 5)
+                    self.assertAlmostEqual(sum(counts) / len(counts), size[0])
+
+    def test_subscriptions_include_every_zone(self) -> None:
+        """No zone is left out by chance if there is room for all."""
+        places = zones_by_host('e', 60, 5)
+        for entry, hosts in subscriptions((98, 60, 5)).items():
+            with self.subTest(entry=entry):
+                self.assertEqual(len({places[host] for host in hosts}), 5)
+
+    def test_a_new_engine_changes_few_subscriptions(self) -> None:
+        """One more engine replaces at most 1 host of an entry."""
+        before = zones_by_host('e', 60, 5)
         after = {**before, 'new': 'z0'}
-        for me, zone in placed('a', 98, 5).items():
-            gone = set(select_hosts(me, zone, before)) - set(
-                select_hosts(me, zone, after)
+        for entry, zone in zones_by_host('a', 98, 5).items():
+            gone = set(select_hosts(entry, zone, before)) - set(
+                select_hosts(entry, zone, after)
             )
             self.assertLessEqual(len(gone), 1)
 
     def test_a_zone_without_engines(self) -> None:
-        """Its entries draw alike, so that some engine hears all of them."""
+        """Its entries select the same hosts, which so know all of them."""
         places = {'e1': 'z1', 'e2': 'z2'}
         found = {
-            tuple(select_hosts(me, 'z3', places)) for me in ('a1', 'a2', 'a3')
+            tuple(select_hosts(entry, 'z3', places))
+            for entry in ('a1', 'a2', 'a3')
         }
         self.assertEqual(len(found), 1)
 
-    def test_nobody_there(self) -> None:
-        """Where there are no engines none is heard."""
+    def test_no_engines(self) -> None:
+        """Without engines nothing is selected."""
         self.assertEqual(select_hosts('a', 'z1', {}), {})
 
 
-class WhereCallsGoTest(unittest.TestCase):
-    """Let entries that hear a part send calls to engines that queue."""
+class LoadSpreadTest(unittest.TestCase):
+    """Let entries with some of the reports send calls to engines that queue."""
 
     def setUp(self) -> None:
         self.directory = Directory()
-        self.places = placed('e', 60, 5)
+        self.places = zones_by_host('e', 60, 5)
         for host, zone in self.places.items():
             self.directory.update(
                 Endpoint(
@@ -128,28 +137,28 @@
             )
         self.running: Counter[str] = Counter()
 
-    def chooser(self, me: str, zone: str) -> Chooser:
-        """Give what an entry chooses by: true reports of what it hears."""
-        chooser = Chooser(self.directory, Random(me))
-        heard = select_hosts(me, zone, self.places)
-        chooser.candidates.prefer_hosts(heard)
-        for host in heard:
+    def chooser(self, entry: str, zone: str) -> Chooser:
+        """Give the chooser of an entry with exact reports of its hosts."""
+        chooser = Chooser(self.directory, Random(entry))
+        subscribed = select_hosts(entry, zone, self.places)
+        chooser.candidates.prefer_hosts(subscribed)
+        for host in subscribed:
             count = self.running[host]
-            running = min(count, FIGURES.slots)
+            running = min(count, PROFILE.slots)
             chooser.stats_of(host).record_report(
                 report(count - running, running, 10)
             )
         return chooser
 
     def send(self, calls: int, zones: int) -> None:
-        """Let the entries of some zones send calls in turn, none ending."""
+        """Let the entries of some zones send calls in turn; no call ends."""
         entries = [
-            (me, zone)
-            for me, zone in placed('a', 98, 5).items()
+            (entry, zone)
+            for entry, zone in zones_by_host('a', 98, 5).items()
             if int(zone[1:]) < zones
         ]
         for number in range(calls):
-            me, zone = entries[number % len(entries)]
+            entry, zone = entries[number % len(entries)]
             requirements = Requirements(
                 POOL,
                 zone,
@@ -158,59 +167,59 @@
                 acceptable_wait_s=0.4,
                 sample_number=hash64(str(number)),
             )
-            choice = self.chooser(me, zone).choose(requirements, (), 10)
+            choice = self.chooser(entry, zone).choose(requirements, (), 10)
             assert choice is not None
             self.running[choice.endpoint.endpoint_id] += 1
 
     def test_even_load(self) -> None:
-        """Five calls an engine on all sides: none has over three more."""
+        """With a mean of 5 calls per engine, none has more than 8."""
         self.send(300, 5)
         self.assertLessEqual(max(self.running.values()), 8)
 
-    def test_one_zone_is_pressed(self) -> None:
-        """What its own engines can not take fills others but for 10 in 100."""
+    def test_load_of_one_zone_only(self) -> None:
+        """Its overflow is spread over other zones with under 10 % unused."""
         self.send(960, 1)
-        far = [
+        other_zones = [
             self.running[host]
             for host, zone in self.places.items()
             if zone != 'z0'
         ]
-        mean = sum(far) / len(far)
-        unused = sum(max(0, mean - one) for one in far)
-        self.assertLess(unused, 0.1 * sum(far))
-        self.assertLess(max(far), 1.3 * mean)
+        mean = sum(other_zones) / len(other_zones)
+        unused = sum(max(0, mean - running) for running in other_zones)
+        self.assertLess(unused, 0.1 * sum(other_zones))
+        self.assertLess(max(other_zones), 1.3 * mean)
 
-    def test_the_rest_where_none_heard_will_do(self) -> None:
-        """An engine that is not heard takes the call that no other can."""
+    def test_engines_without_subscription_are_the_last_choice(self) -> None:
+        """They get a call that no subscribed engine can take."""
         chooser = self.chooser('a0', 'z0')
-        heard = select_hosts('a0', 'z0', self.places)
+        subscribed = select_hosts('a0', 'z0', self.places)
         requirements = Requirements(POOL, 'z0', 900, 'm')
-        choice = chooser.choose(requirements, tuple(heard), 10)
+        choice = chooser.choose(requirements, tuple(subscribed), 10)
         assert choice is not None
-        self.assertNotIn(choice.endpoint.endpoint_id, heard)
-        everyone = tuple(self.places)
-        self.assertIsNone(chooser.choose(requirements, everyone, 10))
+        self.assertNotIn(choice.endpoint.endpoint_id, subscribed)
+        all_hosts = tuple(self.places)
+        self.assertIsNone(chooser.choose(requirements, all_hosts, 10))
 
-    def test_an_engine_that_comes_or_drains_is_seen_at_once(self) -> None:
-        """What was worked out of an older list is not used."""
+    def test_a_change_of_the_list_applies_at_once(self) -> None:
+        """Groups that were cached for an older list are not used."""
         chooser = self.chooser('a0', 'z0')
         requirements = Requirements(POOL, 'z0', 900, 'm')
-        heard = tuple(select_hosts('a0', 'z0', self.places))
+        subscribed = tuple(select_hosts('a0', 'z0', self.places))
         chooser.choose(requirements, (), 10)
-        for host in heard:
+        for host in subscribed:
             self.directory.update(
                 Endpoint(host, POOL.name, host, 80, 'z0', 8, ready=False),
             )
         choice = chooser.choose(requirements, (), 10)
         assert choice is not None
-        self.assertNotIn(choice.endpoint.endpoint_id, heard)
+        self.assertNotIn(choice.endpoint.endpoint_id, subscribed)
 
 
 class EntryCountTest(unittest.TestCase):
-    """Share a budget among as many as there are."""
+    """Count the entries that share a budget."""
 
     def test_counts(self) -> None:
-        """The own zone's are averaged; others' only where there are none."""
+        """Counts of the own zone are averaged; others are only a fallback."""
         count = EntryCount()
         self.assertEqual(count.entries, ASSUMED_ENTRIES)
         self.assertFalse(count.update(0))
@@ -221,14 +230,14 @@
             ('e4', 0, 1.0, True, 98),
             ('e5', 100, 1.0, True, 99),
         )
-        for host, entries, now, near, expected in steps:
+        for host, entries, now, same_zone, expected in steps:
             with self.subTest(host=host):
-                count.record(host, entries, now, same_zone=near)
+                count.record(host, entries, now, same_zone=same_zone)
                 count.update(now)
                 self.assertEqual(count.entries, expected)
 
-    def test_who_says_no_more_counts_no_more(self) -> None:
-        """The last count stays where nobody is left to tell."""
+    def test_old_counts_are_dropped(self) -> None:
+        """The last result stays if no recent count is left."""
         count = EntryCount()
         count.record('e1', 50, 0, same_zone=True)
         count.record('e2', 70, 3, same_zone=True)
--- a/tests/test_coldgate.py
+++ b/tests/test_coldgate.py
@@ -1,8 +1,8 @@
-"""What cold endpoints receive from entries that do not talk to each other.
+"""How many calls cold endpoints get from entries that don't communicate.
 
-Load pattern: a zone's endpoints come back cold together and every entry has
-calls for them at once; entries start and die meanwhile, and the number of
-entries is told late. Virtual time.
+Load pattern: the endpoints of a zone come back cold together and every entry
+has calls for them at once. Entries start and die meanwhile, and the number of
+entries is reported late. The test uses virtual time.
 """
 
 import unittest
@@ -17,28 +17,30 @@
 SIZES = (3, 39, 98, 410)
 
 
-class Crowd:
-    """Entries that would send to one cold endpoint as often as they may."""
+class Entries:
+    """Entries that send to one cold endpoint as often as they may."""
 
     def __init__(self, count: int, seed: int) -> None:
-        self.told = count
+        self.known_count = count
         self.sent: list[float] = []
         self.rng = Random(seed)
-        self.gates = [self.gate() for _ in range(count)]
+        self.limiters = [self.limiter() for _ in range(count)]
 
-    def gate(self) -> WarmupLimiter:
-        """Give a new entry's gate."""
-        return WarmupLimiter(Random(self.rng.random()), lambda: self.told)
+    def limiter(self) -> WarmupLimiter:
+        """Give the limiter of a new entry."""
+        return WarmupLimiter(
+            Random(self.rng.random()), lambda: self.known_count
+        )
 
     def step(self, now: float, share: float = 1) -> None:
-        """Let a share of the entries have a call."""
-        for gate in self.gates:
-            if self.rng.random() < share and gate.may_send('i', PER_S, now):
-                gate.record_sent('i', PER_S, now)
+        """Let a share of the entries send a call if they may."""
+        for limiter in self.limiters:
+            if self.rng.random() < share and limiter.may_send('i', PER_S, now):
+                limiter.record_sent('i', PER_S, now)
                 self.sent.append(now)
 
-    def most(self) -> int:
-        """Give the most that were sent within any second."""
+    def max_in_a_second(self) -> int:
+        """Give the largest number of calls sent within any second."""
         times = sorted(self.sent)
         first = 0
         most = 0
@@ -49,73 +51,73 @@
         return most
 
 
-class ColdGateTest(unittest.TestCase):
-    """Count what arrives within a second."""
+class WarmupLimiterTest(unittest.TestCase):
+    """Count the calls that arrive within a second."""
 
-    def play(self, crowd: Crowd, share: float = 1) -> None:
-        """Let all have calls for a while."""
+    def play(self, entries: Entries, share: float = 1) -> None:
+        """Let all entries have calls for 12 s."""
         for number in range(int(SPAN_S / STEP_S)):
-            crowd.step(number * STEP_S, share)
+            entries.step(number * STEP_S, share)
 
     def test_sum_over_all_entries(self) -> None:
-        """It stays within what is allowed, at each size and demand."""
+        """The sum stays within the bound at each size and demand."""
         for count in SIZES:
             for share in (1, 0.05):
-                with self.subTest(entries=count, share=share):
-                    crowd = Crowd(count, count)
-                    self.play(crowd, share)
-                    self.assertLessEqual(crowd.most(), ALLOWED)
+                with self.subTest(count=count, share=share):
+                    entries = Entries(count, count)
+                    self.play(entries, share)
+                    self.assertLessEqual(entries.max_in_a_second(), ALLOWED)
 
     def test_the_rate_is_used(self) -> None:
-        """Two thirds of what is borne arrive: half as long again at most."""
+        """At least two thirds of the rate arrive: calls wait 1.5 times."""
         for count in SIZES:
-            with self.subTest(entries=count):
-                crowd = Crowd(count, count)
-                self.play(crowd)
-                rate = len(crowd.sent) / SPAN_S
+            with self.subTest(count=count):
+                entries = Entries(count, count)
+                self.play(entries)
+                rate = len(entries.sent) / SPAN_S
                 self.assertGreaterEqual(rate, PER_S / 1.5)
 
-    def test_a_wave_after_silence(self) -> None:
+    def test_burst_after_long_idling(self) -> None:
         """Entries that were idle together do not all send at once."""
         for count in SIZES[1:]:
-            crowd = Crowd(count, count)
+            entries = Entries(count, count)
             for number in range(100):
-                crowd.step(number * STEP_S)
-            crowd.sent.clear()
+                entries.step(number * STEP_S)
+            entries.sent.clear()
             for number in range(100):
-                crowd.step(60 + number * STEP_S)
-            with self.subTest(entries=count):
-                self.assertLessEqual(crowd.most(), ALLOWED)
+                entries.step(60 + number * STEP_S)
+            with self.subTest(count=count):
+                self.assertLessEqual(entries.max_in_a_second(), ALLOWED)
 
-    def test_a_wave_after_a_pause(self) -> None:
-        """Guard against turns that entries save while they are idle."""
+    def test_burst_after_short_idling(self) -> None:
+        """Guard against send times that entries save while they are idle."""
         for count in SIZES:
-            crowd = Crowd(count, count)
-            self.play(crowd)
-            crowd.sent.clear()
+            entries = Entries(count, count)
+            self.play(entries)
+            entries.sent.clear()
             for number in range(100):
-                crowd.step(SPAN_S + 8 + number * STEP_S)
-            with self.subTest(entries=count):
-                self.assertLessEqual(crowd.most(), ALLOWED)
-
-    def test_entries_that_come_and_a_count_that_is_late(self) -> None:
-        """A fifth more entries than are known, a few new ones a second."""
-        crowd = Crowd(39, 1)
-        crowd.told = 39
+                entries.step(SPAN_S + 8 + number * STEP_S)
+            with self.subTest(count=count):
+                self.assertLessEqual(entries.max_in_a_second(), ALLOWED)
+
+    def test_new_entries_and_a_late_count(self) -> None:
+        """A fifth more entries than are known, a few new ones per second."""
+        entries = Entries(39, 1)
+        entries.known_count = 39
         for number in range(int(SPAN_S / STEP_S)):
-            if number % 100 == 0 and len(crowd.gates) < 47:
-                crowd.gates.append(crowd.gate())
+            if number % 100 == 0 and len(entries.limiters) < 47:
+                entries.limiters.append(entries.limiter())
             if number % 130 == 0:
-                crowd.gates[number % 39] = crowd.gate()
-            crowd.step(number * STEP_S)
-        self.assertLessEqual(crowd.most(), ALLOWED)
-
-    def test_what_is_gone_is_forgotten(self) -> None:
-        """A gate keeps nothing of endpoints that are no longer listed."""
-        gate = WarmupLimiter(Random(1), lambda: 1)
-        gate.record_sent('i', PER_S, 0)
-        gate.forget_unlisted(set())
-        self.assertEqual(gate._next_send_at, {})
+                entries.limiters[number % 39] = entries.limiter()
+            entries.step(number * STEP_S)
+        self.assertLessEqual(entries.max_in_a_second(), ALLOWED)
+
+    def test_unlisted_endpoints_are_forgotten(self) -> None:
+        """A limiter keeps nothing of endpoints that are no longer listed."""
+        limiter = WarmupLimiter(Random(1), lambda: 1)
+        limiter.record_sent('i', PER_S, 0)
+        limiter.forget_unlisted(set())
+        self.assertEqual(limiter._next_send_at, {})
 
 
 if __name__ == '__main__':
--- a/tests/test_entrance.py
+++ b/tests/test_entrance.py
@@ -14,7 +14,7 @@
 from linnetwood.calls.policy.retrycapacity import keep_reserve
 from linnetwood.calls.routetable import Repeat, Route, Service, Share
 from linnetwood.core.outcomes import Ending, Outcome
-from tests.test_directory import POOL, listed, report
+from tests.test_directory import POOL, endpoint, report
 
 ROUTE = Route(
     'r',
@@ -77,7 +77,7 @@
     def setUp(self) -> None:
         directory = Directory()
         self.chooser = Chooser(directory, Random(1))
-        directory.update(listed('i-1'))
+        directory.update(endpoint('i-1'))
         self.admission = DeadlineAdmission(
             self.chooser,
             Needs(),
@@ -156,7 +156,7 @@
     def setUp(self) -> None:
         directory = Directory()
         self.chooser = Chooser(directory, Random(1))
-        directory.update(listed('i-1'))
+        directory.update(endpoint('i-1'))
         self.admission = DeadlineAdmission(
             self.chooser,
             Needs(),
--- a/tests/test_lateness.py
+++ b/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""What calls saw corrects what is admitted, within bounds and for a while."""
+"""Waits of earlier calls correct predictions, within bounds and for a time."""
 
 import unittest
 
@@ -9,10 +9,10 @@
 
 
 class MeanLatenessTest(unittest.TestCase):
-    """Let calls begin later or sooner than predicted."""
+    """Record calls that begin later or sooner than predicted."""
 
     def test_learns(self) -> None:
-        """Late calls raise it step by step, prompt ones lower it to nothing."""
+        """Late calls raise the correction step by step, prompt ones end it."""
         forecast = MeanLateness()
         self.assertEqual(forecast.mean_lateness_s(1, 10), 0)
         for _ in range(20):
@@ -26,14 +26,14 @@
         self.assertEqual(forecast.mean_lateness_s(1, 10), 0)
 
     def test_bounded(self) -> None:
-        """Half of the target is left, so that an idle engine gets calls."""
+        """At most half of the target, so that an idle engine gets calls."""
         forecast = MeanLateness()
         for _ in range(20):
             forecast.record(0.2, 4, 10)
         self.assertEqual(forecast.mean_lateness_s(0.6, 10), 0.3)
 
     def test_forgets(self) -> None:
-        """An entry that admits nothing learns nothing, and tries again."""
+        """It decays, since an entry that admits nothing learns nothing."""
         forecast = MeanLateness()
         for _ in range(20):
             forecast.record(0.2, 0.6, 10)
@@ -41,7 +41,7 @@
         self.assertLess(forecast.mean_lateness_s(1, 30), 0.03)
 
     def test_the_usual_spread_is_allowed(self) -> None:
-        """Beside what was learned."""
+        """The spread is added to the learned lateness."""
         forecast = MeanLateness()
         self.assertEqual(forecast.margin_s(1, 10), SPREAD_S)
         for _ in range(20):
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -1,8 +1,8 @@
-"""A server that starts again under its id: nothing counts for the wrong life.
+"""What an entry learns of endpoints is assigned to the right incarnation.
 
-Load pattern: servers crash and start again within their lease, so that the list
-never lacks them; reports, entries and answers of the life before arrive late,
-and addresses are used again by others.
+Load pattern: endpoints restart within their lease, so that the list never lacks
+them. Reports, records and answers of the earlier incarnation arrive late, and
+other endpoints reuse addresses.
 """
 
 import unittest
@@ -43,7 +43,7 @@
 
 
 class Server:
-    """One id, its life, and what it holds in it."""
+    """One endpoint id, its incarnation, and the version that it holds."""
 
     def __init__(self, name: str, host: str) -> None:
         self.name = name
@@ -51,14 +51,14 @@
         self.born = 1000
         self.holds = 1
 
-    def start_again(self, now: int, host: str) -> None:
-        """Begin a life that holds nothing."""
+    def restart(self, now: int, host: str) -> None:
+        """Start an incarnation that holds nothing."""
         self.born = 1000 + now
         self.host = host
         self.holds = 0
 
-    def entry(self) -> Endpoint:
-        """Give what stands in the list."""
+    def record(self) -> Endpoint:
+        """Give its record in the list."""
         versions = {'m': self.holds} if self.holds else {}
         return Endpoint(
             self.name,
@@ -74,7 +74,7 @@
 
 
 class History:
-    """Servers, and an entry that hears of them late and out of order."""
+    """Endpoints, and an entry that gets news of them late and out of order."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
@@ -85,14 +85,14 @@
             Server(f'i-{number}', self.hosts[number])
             for number in range(SERVERS)
         ]
-        self.late: list[Endpoint] = [one.entry() for one in self.servers]
+        self.late: list[Endpoint] = [server.record() for server in self.servers]
         self.reports: list[tuple[str, int, Report]] = []
         self.wrong: list[str] = []
-        for one in self.late:
-            self.directory.update(one)
+        for record in self.late:
+            self.directory.update(record)
 
     def play(self) -> list[str]:
-        """Give what was counted for the wrong life."""
+        """Give what was assigned to the wrong incarnation."""
         for now in range(1, STEPS):
             act = self.rng.choice(
                 (self._restart, self._bring, self._list, self._stale),
@@ -103,123 +103,121 @@
         return self.wrong
 
     def _restart(self, now: int) -> None:
-        one = self.rng.choice(self.servers)
-        used = {other.host for other in self.servers if other is not one}
+        server = self.rng.choice(self.servers)
+        used = {other.host for other in self.servers if other is not server}
         free = [host for host in self.hosts if host not in used]
-        one.start_again(now, self.rng.choice(free))
+        server.restart(now, self.rng.choice(free))
 
     def _bring(self, now: int) -> None:
         self.rng.choice(self.servers).holds = 1
 
     def _list(self, now: int) -> None:
-        one = self.rng.choice(self.servers).entry()
-        self.late.append(one)
-        self.directory.update(one)
+        record = self.rng.choice(self.servers).record()
+        self.late.append(record)
+        self.directory.update(record)
 
     def _stale(self, now: int) -> None:
-        """Let an entry that was written before arrive once more."""
+        """Let an earlier record arrive once more."""
         self.directory.update(self.rng.choice(self.late))
 
     def _report(self, now: int) -> None:
-        for one in self.servers:
-            report = Report(9, 9, one.holds, changing=False, received_at=now)
-            self.reports.append((one.host, one.born, report))
+        for server in self.servers:
+            report = Report(9, 9, server.holds, changing=False, received_at=now)
+            self.reports.append((server.host, server.born, report))
         for host, born, report in self.rng.sample(self.reports, 2):
             apply_report(self.directory, self.chooser, host, born, report)
 
     def _check(self, now: int) -> None:
         self._check_choice(now)
-        newest = {one.name: one.born for one in self.servers}
+        newest = {server.name: server.born for server in self.servers}
         for listed in self.directory.all():
             known = self.chooser.stats_of(listed.incarnation_id).report
-            incarnation_ids = [
+            births = [
                 born for _, born, report in self.reports if report is known
             ]
-            if known is not None and incarnation_ids != [listed.born]:
-                self.wrong.append(
-                    f'{now}: report of {incarnation_ids} for {listed}'
-                )
+            if known is not None and births != [listed.born]:
+                self.wrong.append(f'{now}: report of {births} for {listed}')
             if listed.born > newest[listed.endpoint_id]:
                 self.wrong.append(f'{now}: {listed} is yet to come')
 
     def _check_choice(self, now: int) -> None:
-        """Nothing goes to a life that is known to hold nothing."""
+        """No call is sent to an incarnation that is known to hold nothing."""
         requirements = Requirements(SERVICE, 'z', 10, 'm', 1)
         choice = self.chooser.choose(requirements, (), now)
         if choice is None:
             return
         listed = choice.endpoint
-        told = [
-            one
-            for one in self.late
-            if one.incarnation_id == listed.incarnation_id
+        records = [
+            record
+            for record in self.late
+            if record.incarnation_id == listed.incarnation_id
         ]
-        heard = [
+        reported = [
             report.serving
             for _, born, report in self.reports
             if born == listed.born
         ]
-        if not any(one.versions for one in told) and not any(heard):
+        if not any(record.versions for record in records) and not any(reported):
             self.wrong.append(f'{now}: {listed} never held anything')
 
 
-class LivesTest(unittest.TestCase):
-    """Tell lives apart wherever something is kept."""
+class IncarnationsTest(unittest.TestCase):
+    """Keep incarnations apart wherever something is stored."""
 
     def test_histories(self) -> None:
-        """Two hundred of them, with late reports, stale reads, reuse."""
+        """200 histories with late reports, stale reads and reused addresses."""
         for seed in range(HISTORIES):
             with self.subTest(seed=seed):
                 self.assertEqual(History(seed).play(), [])
 
-    def test_a_new_life_begins_with_nothing_against_it(self) -> None:
-        """Suspicion and load of the life before are left behind."""
+    def test_a_new_incarnation_starts_with_new_statistics(self) -> None:
+        """Failures and load of the earlier incarnation don't count."""
         directory = Directory()
         chooser = Chooser(directory, Random(1))
         server = Server('i', '10.0.0.1')
-        directory.update(server.entry())
-        before = chooser.stats_of(server.entry().incarnation_id)
+        directory.update(server.record())
+        before = chooser.stats_of(server.record().incarnation_id)
         before.record_sent()
         before.record_unreachable(1)
-        server.start_again(5, '10.0.0.1')
-        directory.update(server.entry())
-        after = chooser.stats_of(server.entry().incarnation_id)
+        server.restart(5, '10.0.0.1')
+        directory.update(server.record())
+        after = chooser.stats_of(server.record().incarnation_id)
         self.assertIsNot(after, before)
         self.assertEqual((after.in_flight, after.failure_rate), (0, 0))
-        # A call of the life before ends there, and is forgotten with it.
+        # A call of the earlier incarnation ends and is forgotten with it.
         before.record_ended()
         chooser.forget_unlisted(2)
-        self.assertEqual(list(chooser.stats), [server.entry().incarnation_id])
+        self.assertEqual(list(chooser.stats), [server.record().incarnation_id])
 
-    def test_an_older_life_changes_nothing(self) -> None:
-        """Neither as a late entry nor after the newer one has gone."""
+    def test_an_older_incarnation_changes_nothing(self) -> None:
+        """Neither by a late record nor after the newer one has gone."""
         directory = Directory()
         server = Server('i', '10.0.0.1')
-        old = server.entry()
-        server.start_again(5, '10.0.0.2')
-        directory.update(server.entry())
+        old = server.record()
+        server.restart(5, '10.0.0.2')
+        directory.update(server.record())
         directory.update(old)
-        self.assertEqual(directory.get('i'), server.entry())
+        self.assertEqual(directory.get('i'), server.record())
         directory.mark_removed('i', 100)
         directory.update(old)
         self.assertIsNone(directory.get('i'))
 
-    def test_an_address_that_was_left_belongs_to_the_next(self) -> None:
-        """A report from there is not counted for who moved away."""
+    def test_a_moved_endpoint_leaves_its_address(self) -> None:
+        """A report from the old address is not assigned to it."""
         directory = Directory()
         server = Server('i', '10.0.0.1')
-        directory.update(server.entry())
+        directory.update(server.record())
         server.host = '10.0.0.2'
-        directory.update(server.entry())
+        directory.update(server.record())
         self.assertIsNone(directory.at_host('10.0.0.1'))
-        self.assertEqual(directory.at_host('10.0.0.2'), server.entry())
+        self.assertEqual(directory.at_host('10.0.0.2'), server.record())
 
-    def test_a_report_tells_of_a_new_life_first(self) -> None:
-        """The list's word of what it holds is of the life before."""
+    def test_a_report_of_a_new_incarnation_before_the_list(self) -> None:
+        """The versions in the list are those of the earlier incarnation."""
         directory = Directory()
         chooser = Chooser(directory, Random(1))
         server = Server('i', '10.0.0.1')
-        directory.update(server.entry())
+        directory.update(server.record())
         report = Report(0, 0, 0, changing=False, received_at=1)
         apply_report(directory, chooser, '10.0.0.1', 2000, report)
         requirements = Requirements(SERVICE, 'z', 10, 'm', 1)
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -1,7 +1,7 @@
-"""What endpoints get that name in their answers how much they take.
+"""How many calls endpoints get that name a rate limit in their answers.
 
-Load pattern: an endpoint in need, and entries that all have calls for it and do
-not talk to each other: as many as the smallest and the largest fleets have.
+Load pattern: an overloaded endpoint, and entries that all have calls for it and
+don't communicate, in fleets from the smallest to the largest size.
 """
 
 import asyncio
@@ -47,12 +47,12 @@
 
 
 def allowed(limit: float) -> int:
-    """Give how many calls may come in a span to an endpoint with a limit."""
+    """Give how many calls may arrive in a span at an endpoint with a limit."""
     return int(1.5 * limit * SPAN_S + 5)
 
 
 def most_in_span(times: list[float]) -> int:
-    """Give the most that came within any span."""
+    """Give the largest number of calls within any span."""
     times = sorted(times)
     first = 0
     most = 0
@@ -64,7 +64,7 @@
 
 
 class EntriesTest(unittest.IsolatedAsyncioTestCase):
-    """Entries with calls all the time, and one endpoint."""
+    """Entries that always have calls, and one endpoint."""
 
     async def asyncSetUp(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -80,8 +80,8 @@
     def entry(self, port: int) -> DirectDispatcher:
         """Give the dispatcher of one entry."""
         directory = Directory()
-        one = Endpoint('i-1', 'desk', HOST, port, 'z1', 6, ready=True)
-        directory.update(one)
+        endpoint = Endpoint('i-1', 'desk', HOST, port, 'z1', 6, ready=True)
+        directory.update(endpoint)
         chooser = Chooser(directory, Random(len(self.drivers)))
         chooser.entry_count = lambda: ENTRIES
         driver = CurlDriver()
@@ -112,7 +112,7 @@
         )
 
     async def test_entries_exceed_no_limit_that_an_endpoint_names(self) -> None:
-        """Guard against calls to an endpoint beyond the rate it named."""
+        """Guard against calls to an endpoint above the rate that it named."""
         times: list[float] = []
         head = f'200 OK\r\n{SIGNED}Server-Limit: 1.0\r\n'
         reply = says(answer(head, b'fine'))
@@ -127,30 +127,30 @@
         self.server = Server(noting)
         port = await self.server.start()
         entries = [self.entry(port) for _ in range(ENTRIES)]
-        for one in entries:
-            await one.run(self.call(), Heard())
-        # Each entry has been told now.
+        for entry in entries:
+            await entry.run(self.call(), Heard())
+        # Each entry knows the limit now.
         times.clear()
         for _ in range(CALLS):
-            calls = [one.run(self.call(), Heard()) for one in entries]
+            calls = [entry.run(self.call(), Heard()) for entry in entries]
             await asyncio.gather(*calls)
         self.assertLessEqual(most_in_span(times), allowed(1.0))
 
-    async def test_a_caller_is_told_when_a_limit_lets_it_in(self) -> None:
-        """Guard against calls held, or asked back while none may go."""
+    async def test_a_refusal_names_when_the_limit_allows_a_call(self) -> None:
+        """Guard against calls that are held, or asked back too early."""
         head = f'200 OK\r\n{SIGNED}Server-Limit: 0.2\r\n'
         self.server = Server(says(answer(head, b'fine')))
-        one = self.entry(await self.server.start())
-        await one.run(self.call(), Heard())
-        ending = await one.run(self.call(), Heard())
+        entry = self.entry(await self.server.start())
+        await entry.run(self.call(), Heard())
+        ending = await entry.run(self.call(), Heard())
         self.assertIs(ending.outcome, Outcome.NOT_RUN)
         self.assertEqual(ending.detail, 'limited')
         self.assertGreater(ending.retry_after_ms, 200)
         self.assertEqual(len(self.server.requests), 1)
 
 
-FIGURES = EngineProfile(8, 0.01, 0, 0, 20000, 0, 4, 900, 100, 90000)
-POOL = Service('pool', 10, FIGURES)
+PROFILE = EngineProfile(8, 0.01, 0, 0, 20000, 0, 4, 900, 100, 90000)
+POOL = Service('pool', 10, PROFILE)
 # Entries, engines and zones of fleets.
 FLEETS = ((7, 6, 3), (18, 12, 3), (98, 60, 5), (410, 600, 10))
 LIMITS = (0, 0.25, 1, 1.8, 5, 20)
@@ -160,40 +160,40 @@
 
 
 class Entry:
-    """One entry: what it was told, and when it may send."""
+    """One entry: the notices that it got, and when it may send."""
 
-    def __init__(self, me: str, zone: str, fleet: 'Fleet') -> None:
+    def __init__(self, host: str, zone: str, fleet: 'Fleet') -> None:
         self.zone = zone
         self.fleet = fleet
-        heard = select_hosts(me, zone, fleet.places)
-        self.stands_for = heard.get('e0', 0) if fleet.has_process else 0
-        self.in_reach = True
-        self.start(me)
+        subscribed = select_hosts(host, zone, fleet.places)
+        self.stands_for = subscribed.get('e0', 0) if fleet.has_process else 0
+        self.is_reachable = True
+        self.start(host)
 
     def start(self, seed: object) -> None:
-        """Begin to live, knowing nothing."""
-        self.told = False
+        """Start a process without any notices."""
+        self.knows_limit = False
         self.notices = Notices()
         self.stats = EndpointStats()
         fleet = self.fleet
         rng = Random(f'{fleet.seed}{seed}')
-        self.limits = RateLimits(self.notices, rng, lambda: fleet.told)
+        self.limits = RateLimits(self.notices, rng, lambda: fleet.known_entries)
 
     def step(self, now: float) -> None:
-        """Send a call if one may go."""
+        """Send a call if the limit allows it."""
         fleet = self.fleet
-        target = RateLimitTarget(fleet.service, fleet.one, self.stats)
+        target = RateLimitTarget(fleet.service, fleet.endpoint, self.stats)
         if self.limits.available_at(target, now) > now:
             return
         self.limits.record_sent(target, now)
-        if self.told:
+        if self.knows_limit:
             fleet.times.append(now)
-        self.told = True
+        self.knows_limit = True
         self.notices.record('e0', Notice(fleet.limit, complete=True), now)
 
 
 class Fleet:
-    """Entries that all have calls for one endpoint of a zone."""
+    """Entries that all have calls for the same endpoint."""
 
     def __init__(
         self,
@@ -206,16 +206,19 @@
         entries, engines, zones = sizes
         self.seed = seed
         self.limit = limit
-        self.told = entries
+        self.known_entries = entries
         self.has_process = has_process
         self.service = POOL if has_process else DESK
-        self.places = {f'e{one}': f'z{one % zones}' for one in range(engines)}
-        self.one = Endpoint('e0', 'pool', 'e0', 80, 'z0', 8, ready=True)
+        self.places = {
+            f'e{number}': f'z{number % zones}' for number in range(engines)
+        }
+        self.endpoint = Endpoint('e0', 'pool', 'e0', 80, 'z0', 8, ready=True)
         self.times: list[float] = []
         self.rng = Random(entries)
         self.listeners = ReportSubscribers(-2.0)
         self.entries = [
-            Entry(f'a{one}', f'z{one % zones}', self) for one in range(entries)
+            Entry(f'a{number}', f'z{number % zones}', self)
+            for number in range(entries)
         ]
         self.now = float()
 
@@ -230,24 +233,24 @@
                     entry.step(self.now)
 
     def talk(self) -> None:
-        """Let entries greet the process and hear its reports."""
-        hearing = [
+        """Let entries subscribe to the process and get its reports."""
+        subscribed = [
             (number, entry)
             for number, entry in enumerate(self.entries)
-            if entry.stands_for and entry.in_reach
+            if entry.stands_for and entry.is_reachable
         ]
-        for number, entry in hearing:
+        for number, entry in subscribed:
             greeting = ReportSubscription(
                 int(self.now * 10) + 99, entry.zone, 0.1, entry.stands_for
             )
             self.listeners.subscribe((f'a{number}', 1), greeting, self.now)
         self.listeners.expire(self.now)
         reports = {near: self.report(near=near) for near in (True, False)}
-        for _, entry in hearing:
+        for _, entry in subscribed:
             entry.stats.record_report(reports[entry.zone == 'z0'])
 
     def report(self, *, near: bool) -> Report:
-        """Give what the process tells entries of its zone, or the others."""
+        """Give the report to entries of the same zone, or to the others."""
         part = self.listeners.quota_share('z0', self.now, near=near)
         notice = Notice(self.limit, complete=True)
         report = Report(0, 1, 1, changing=False, received_at=self.now)
@@ -255,52 +258,52 @@
 
 
 def fleets(limit: float) -> Iterator[Fleet]:
-    """Yield a fleet of each size, before an engine and a plain endpoint."""
+    """Yield fleets of each size with an engine and with a plain endpoint."""
     for sizes in FLEETS:
         for has_process in (True, False):
             yield Fleet(sizes, limit, has_process=has_process)
 
 
-class LimitOfAllTest(unittest.TestCase):
-    """The sum over all entries, in virtual time."""
+class FleetLimitTest(unittest.TestCase):
+    """The sum of calls over all entries, in virtual time."""
 
     def within(self, fleet: Fleet) -> None:
-        """Check what came after the limit had been told to each."""
+        """Check the calls that came after each entry knew the limit."""
         self.assertLessEqual(most_in_span(fleet.times), allowed(fleet.limit))
 
     def test_sum_over_all_entries(self) -> None:
-        """Guard against entries that each obey and together do not."""
+        """Guard against entries that keep the limit alone but not together."""
         for limit in LIMITS:
             for fleet in fleets(limit):
                 fleet.play(PLAYED_S)
-                with self.subTest(limit=limit, entries=fleet.told):
+                with self.subTest(limit=limit, entries=fleet.known_entries):
                     self.within(fleet)
 
     def test_the_limit_is_used(self) -> None:
-        """Guard against an endpoint left idle, whose end of need none hears."""
+        """Guard against an idle endpoint whose recovery no entry learns."""
         for limit in (1, 5):
             for fleet in fleets(limit):
                 fleet.play(2 * PLAYED_S)
                 rate = len(fleet.times) / (2 * PLAYED_S)
-                # Turns of many fall together by chance, so less is tried.
-                least = limit / 2 if fleet.told < 30 else limit / 3
-                with self.subTest(limit=limit, entries=fleet.told):
+                # Send times of many entries coincide, so less of it is used.
+                least = limit / 2 if fleet.known_entries < 30 else limit / 3
+                with self.subTest(limit=limit, entries=fleet.known_entries):
                     self.assertGreaterEqual(rate, least)
 
-    def test_turns_of_many_that_fall_together(self) -> None:
-        """Guard against 13 calls in 4 s by chance: this seed showed them."""
+    def test_coinciding_send_times_of_many_entries(self) -> None:
+        """Guard against 13 calls in 4 s by chance: this seed produced them."""
         fleet = Fleet(FLEETS[-1], 1, has_process=False, seed='s24-')
         fleet.play(PLAYED_S)
         self.within(fleet)
 
-    def test_a_limit_above_what_comes_holds_nothing_up(self) -> None:
-        """Guard against calls refused beside room, while turns come often."""
+    def test_a_limit_above_the_load_delays_nothing(self) -> None:
+        """Guard against refused calls below the limit at short intervals."""
         for limit in (20, 1000, 999999999):
             fleet = Fleet(FLEETS[0], limit, has_process=False)
             entry = fleet.entries[0]
             entry.notices.record('e0', Notice(limit, complete=True), 0)
-            target = RateLimitTarget(fleet.service, fleet.one, entry.stats)
-            # The first turn is drawn.
+            target = RateLimitTarget(fleet.service, fleet.endpoint, entry.stats)
+            # The first send time is random.
             entry.limits.available_at(target, 0)
             for number in range(1, 50):
                 now = number * 0.77
@@ -310,54 +313,54 @@
                     )
                 entry.limits.record_sent(target, now)
 
-    def test_a_crowd_after_silence(self) -> None:
-        """Guard against turns that all entries saved up."""
+    def test_burst_after_idling(self) -> None:
+        """Guard against send times that all entries saved."""
         for fleet in fleets(1):
             for idle_s in (8, 60, 3600):
                 fleet.play(fleet.now + PLAYED_S / 2)
                 fleet.now += idle_s
             fleet.play(fleet.now + PLAYED_S / 2)
-            with self.subTest(entries=fleet.told):
+            with self.subTest(entries=fleet.known_entries):
                 self.within(fleet)
 
-    def test_entries_that_start_again(self) -> None:
-        """Guard against lives of entries that each have a whole part."""
+    def test_entries_that_restart(self) -> None:
+        """Guard against restarted entries that use their quota anew."""
         for fleet in fleets(1):
             for number in range(40):
                 fleet.play(fleet.now + 0.6, share=0.5)
-                entry = fleet.entries[number % fleet.told]
+                entry = fleet.entries[number % fleet.known_entries]
                 entry.start(number)
-            with self.subTest(entries=fleet.told):
+            with self.subTest(entries=fleet.known_entries):
                 self.within(fleet)
 
-    def test_a_zone_that_the_process_does_not_hear(self) -> None:
-        """Guard against parts handed out twice: to those cut off as well."""
+    def test_a_zone_that_is_cut_off_from_the_process(self) -> None:
+        """Guard against quotas assigned twice: also to entries cut off."""
         for fleet in fleets(1.8):
             fleet.play(PLAYED_S / 2)
             for entry in fleet.entries:
-                entry.in_reach = entry.zone != 'z1'
+                entry.is_reachable = entry.zone != 'z1'
             fleet.play(PLAYED_S)
             for entry in fleet.entries:
-                entry.in_reach = True
+                entry.is_reachable = True
             fleet.play(PLAYED_S * 1.5)
-            with self.subTest(entries=fleet.told):
+            with self.subTest(entries=fleet.known_entries):
                 self.within(fleet)
 
     def test_more_entries_than_are_known(self) -> None:
         """Guard against a count of entries that is a fifth too low."""
         for fleet in fleets(1.8):
-            fleet.told = max(1, int(fleet.told / 1.2))
+            fleet.known_entries = max(1, int(fleet.known_entries / 1.2))
             fleet.play(PLAYED_S)
-            with self.subTest(entries=fleet.told):
+            with self.subTest(entries=fleet.known_entries):
                 self.within(fleet)
 
     def test_a_limit_that_ends_is_forgotten(self) -> None:
-        """Guard against turns kept for a limit that was named long ago."""
+        """Guard against send times kept for a limit that has ended."""
         fleet = Fleet(FLEETS[0], 0, has_process=False)
         fleet.play(PLAYED_S)
         entry = fleet.entries[0]
         entry.notices.record('e0', Notice(complete=True), fleet.now)
-        target = RateLimitTarget(fleet.service, fleet.one, entry.stats)
+        target = RateLimitTarget(fleet.service, fleet.endpoint, entry.stats)
         for now in (fleet.now, fleet.now + 1):
             self.assertEqual(entry.limits.available_at(target, now), now)
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Whom a call goes to, and how retries are bounded."""
+"""Which endpoint a call is sent to, and how retries are bounded."""
 
 import unittest
 from random import Random
@@ -35,7 +35,9 @@
     """Give routes for a model whose intent goes from v1 to v2."""
     chosen: Policy = POLICIES[policy]()
     found = Routes('z', chosen, Random(1))
-    versions = [Version(name=f'v{one}', manifest='x') for one in (1, 2, 3)]
+    versions = [
+        Version(name=f'v{number}', manifest='x') for number in (1, 2, 3)
+    ]
     found.apply_config(
         Deployment(
             models=[Model(name='m', versions=versions)],
@@ -49,16 +51,16 @@
             ],
         ),
     )
-    for one in members:
-        found.member_changed(one)
+    for known in members:
+        found.member_changed(known)
     return found
 
 
 class RoutesTest(unittest.TestCase):
-    """Only able endpoints are chosen, the less loaded first."""
+    """Only eligible endpoints are chosen, the less loaded first."""
 
-    def test_who_is_able(self) -> None:
-        """What does not serve the model, leaves or is dead is not chosen."""
+    def test_eligible_endpoints(self) -> None:
+        """Endpoints that leave, are dead or lack the model are not chosen."""
         cases = (
             (engine('a'), True),
             (engine('a', 'm@v2'), True),
@@ -68,21 +70,21 @@
             (engine('a', status=int(Health.DEAD)), False),
             (engine('a', status=int(Health.SUSPECT)), True),
         )
-        for one, able in cases:
-            with self.subTest(one.serving, status=one.status):
-                found = routes(one).choose(QUERY, (), 0)
-                self.assertEqual(found is not None, able)
+        for known, eligible in cases:
+            with self.subTest(known.serving, status=known.status):
+                found = routes(known).choose(QUERY, (), 0)
+                self.assertEqual(found is not None, eligible)
 
     def test_versions_that_changed_too_fast(self) -> None:
-        """A declared version serves when no wanted one does."""
+        """A declared version is used if no wanted one is served."""
         found = routes(engine('a', 'm@v3'))
         self.assertIsNotNone(found.choose(QUERY, (), 0))
         found.member_changed(engine('b', 'm@v1'))
         chosen = found.choose(QUERY, (), 0)
         self.assertEqual(chosen.vm if chosen else '', 'b')
 
-    def test_tried_and_suspect_and_far(self) -> None:
-        """What was tried is left out; near and unsuspected go first."""
+    def test_tried_suspect_and_remote_endpoints(self) -> None:
+        """Tried ones are left out; alive ones of the same zone come first."""
         found = routes(
             engine('near'),
             copy(engine('far'), availability_zone='other'),
@@ -97,13 +99,15 @@
     def test_key_names_one_incarnation(self) -> None:
         """A key's owner is chosen only in the incarnation it names."""
         found = routes(engine('a', incarnation=2))
-        for incarnation, able in ((2, True), (1, False)):
+        for incarnation, eligible in ((2, True), (1, False)):
             query = EndpointQuery('engine', vm='a', incarnation=incarnation)
             with self.subTest(incarnation):
-                self.assertEqual(found.choose(query, (), 0) is not None, able)
+                self.assertEqual(
+                    found.choose(query, (), 0) is not None, eligible
+                )
 
     def test_slots(self) -> None:
-        """Only endpoints that may take calls count as capacity."""
+        """Only endpoints that may get calls count as capacity."""
         found = routes(
             engine('a'),
             engine('b', status=int(Health.LEAVING)),
@@ -111,13 +115,13 @@
         )
         self.assertEqual(found.slots('m'), 10)
 
-    def test_an_entry_keeps_to_its_part(self) -> None:
-        """What is full by this entry's part goes after a sound one with room.
+    def test_an_entry_keeps_to_its_share(self) -> None:
+        """An endpoint with a full share comes after a healthy one with room.
 
-        Loads heard say the opposite: they are old when they come.
+        The reported loads suggest the opposite: they are old when they arrive.
         """
         cases: tuple[tuple[str, Member, dict[str, float], str], ...] = (
-            ('sound', engine('b'), {}, 'b'),
+            ('healthy', engine('b'), {}, 'b'),
             ('suspect', engine('b', status=int(Health.SUSPECT)), {}, 'a'),
             ('failed', engine('b'), {'failed_at': 9.5}, 'a'),
             ('full', engine('b'), {'sent': 5}, 'a'),
@@ -127,15 +131,15 @@
                 found = routes(engine('a'), other)
                 found.entry_count = 2
                 found.load('a').sent = 5
-                for field, told in known.items():
-                    setattr(found.load('b'), field, told)
+                for field, setting in known.items():
+                    setattr(found.load('b'), field, setting)
                 found.load('a').record_report(0, 10)
                 found.load('b').record_report(8, 10)
                 chosen = found.choose(QUERY, (), 10)
                 self.assertEqual(chosen.vm if chosen else '', expected)
 
     def test_reports_are_corrected_and_grow_old(self) -> None:
-        """What was sent since a report is added; an old one is forgotten."""
+        """Calls sent since a report are added; an old report is ignored."""
         load = Load()
         load.sent = 1
         load.record_report(5, 10)
@@ -144,10 +148,10 @@
 
 
 class RetriesTest(unittest.TestCase):
-    """Retries are safe and few."""
+    """Retries are safe and bounded."""
 
     def test_when_safe(self) -> None:
-        """Only what surely did not run, or may run again, is tried again."""
+        """Only calls that did not run, or may run again, are retried."""
         refused = not_run(Code.BUSY)
         lost = unknown(Code.CONNECTION_LOST)
         cases: tuple[tuple[Ending, bool, bool, bool], ...] = (
@@ -166,7 +170,7 @@
                 self.assertEqual(found, expected)
 
     def test_budget(self) -> None:
-        """Over many calls no more than a tenth is tried again."""
+        """Over many calls no more than a tenth is retried."""
         budget = RetryBudget()
         spent = 0
         for _ in range(1000):
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -1,8 +1,8 @@
-"""What processes say to each other does not grow with the fleet.
+"""Control traffic per process does not grow with the fleet.
 
-Load pattern: nothing happens. Entries greet, endpoint processes report, at the
-sizes of the users' deployments and at the size to design for. The bound is the
-users' own: a process spends 7 KB a second on control.
+Load pattern: an idle fleet. Entries subscribe and endpoint processes report, at
+the sizes of the users' deployments and at the size to design for. The bound is
+a requirement of the users: a process spends 7 KB per second on control.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
 
 PORT = 7700
 MODEL = 'model-a'
-# Headers of IP and UDP, which links carry too.
+# Bytes of the IP and UDP headers, which links carry too.
 HEADERS = 28
 MOST_BYTES_PER_S = 7000
 SECONDS = 10
@@ -47,7 +47,7 @@
 
 
 class Clock:
-    """Stand until it is set."""
+    """A clock that stands still until it is set."""
 
     def __init__(self) -> None:
         self.seconds = 100.0
@@ -62,7 +62,7 @@
 
 
 class Wire:
-    """Count what is sent, by sender and by receiver, a second."""
+    """Count sent bytes per second, by sender and by receiver."""
 
     def __init__(self) -> None:
         self.sent: dict[str, float] = defaultdict(float)
@@ -79,7 +79,7 @@
         self._share = share
 
     def send(self, news: News, addresses: list[Address]) -> None:
-        """Count a message to each address."""
+        """Count and deliver a message to each address."""
         encoded = encode(news)
         news = decode(News, encoded)
         size = (len(encoded) + HEADERS) * self._share
@@ -100,28 +100,28 @@
 
 
 class Asked(PeerListClient):
-    """Note which entries would be asked for the list of peers."""
+    """Record which entries would be asked for the list of peers."""
 
     def __init__(self, asked: list[str]) -> None:
         super().__init__(TcpDialler(), lambda places: None)
         self._asked_of = asked
 
     def digest_received(self, told: int, revision: int, entry: Address) -> None:
-        """Note one."""
+        """Record the entry."""
         self._asked_of.append(entry[0])
 
 
 class Fleet:
-    """Entries before engines, evenly over availability zones."""
+    """Entries and engines, spread evenly over availability zones."""
 
     def __init__(self, entries: int, engines: int, zones: int) -> None:
         self.wire = Wire()
         self.clock: Clock | virtual.VirtualClock = Clock()
         self.zones = zones
-        # Whether every engine says something of itself in its answers.
-        self.all_say = False
-        self.engines = [engine_host(one) for one in range(engines)]
-        self.entries = [entry_host(one) for one in range(entries)]
+        # Whether every engine has a notice in its answers.
+        self.all_have_notices = False
+        self.engines = [engine_host(number) for number in range(engines)]
+        self.entries = [entry_host(number) for number in range(entries)]
         self.directory = Directory()
         for number, host in enumerate(self.engines):
             self.directory.update(
@@ -141,13 +141,13 @@
         """Give the zone of the VM of a number."""
         return f'hall-number-{number % self.zones}'
 
-    def greet(self) -> None:
-        """Let every entry greet once, as it does each second."""
+    def subscribe(self) -> None:
+        """Let every entry subscribe once, as it does each second."""
         for number, _ in enumerate(self.entries):
             self.entry(number)._subscribe()
 
     def entry(self, number: int) -> Reports:
-        """Give what an entry hears and tells with."""
+        """Give the report exchange of an entry."""
         host = self.entries[number]
         reports = Reports(
             self.directory,
@@ -164,7 +164,7 @@
         return reports
 
     def endpoint(self, number: int) -> ResidentEndpoint:
-        """Give the process beside an engine, which knows nothing yet."""
+        """Give the endpoint process beside an engine, just started."""
         host = self.engines[number]
         endpoint = ResidentEndpoint(
             Residence(
@@ -194,7 +194,7 @@
         return endpoint
 
     async def report(self, number: int) -> None:
-        """Let the process beside an engine report for some seconds."""
+        """Let the endpoint process beside an engine report for 10 s."""
         host = self.engines[number]
         clock = self.clock
         assert isinstance(clock, Clock)
@@ -202,15 +202,15 @@
         talk = endpoint.talk
         talk._peers.is_known = True
         talk._learned(
-            {one: self.zone(each) for each, one in enumerate(self.engines)},
+            {known: self.zone(each) for each, known in enumerate(self.engines)},
         )
         endpoint.follower.report = EngineReport(
             3, 8, 41000, 90000, {MODEL: 1}, changing=False, orders_taken=2
         )
         for source, news in list(self.wire.last[host]):
             talk.handle_news(news, (source, PORT))
-        if self.all_say:
-            # The most that can be said, of a life with a long name.
+        if self.all_have_notices:
+            # The longest possible notice.
             listed = self.directory.at_host(host)
             assert listed is not None
             mark = listed.incarnation_mark
@@ -219,7 +219,7 @@
         for _ in range(round(SECONDS / TICK_S)):
             clock.seconds += TICK_S
             for source, news in list(self.wire.last[host])[: len(self.entries)]:
-                # Greetings go on; they are counted once.
+                # Subscriptions go on; they are counted once.
                 if news.entry is not None:
                     talk.handle_news(news, (source, PORT))
             talk.tell()
@@ -227,12 +227,12 @@
 
 
 def most(counted: dict[str, float], hosts: list[str]) -> int:
-    """Give the most that any of these hosts has, in whole bytes a second."""
+    """Give the largest count of these hosts, in whole bytes per second."""
     return round(max(counted[host] for host in hosts))
 
 
-def played(*, names: bool) -> int:
-    """Wake an entry for two seconds; give the greetings to one engine."""
+def subscriptions_sent(*, names: bool) -> int:
+    """Wake an entry for 2 s; give the number of messages to one engine."""
 
     async def play() -> int:
         fleet = Fleet(7, 6, 3)
@@ -250,15 +250,15 @@
     return virtual.run(play())
 
 
-class TalkTest(unittest.IsolatedAsyncioTestCase):
-    """Count bytes a second into and out of every process."""
+class ControlTrafficTest(unittest.IsolatedAsyncioTestCase):
+    """Count bytes per second into and out of every process."""
 
-    async def test_greetings(self) -> None:
-        """Neither an entry nor what it greets has more than its bound."""
+    async def test_subscriptions(self) -> None:
+        """Neither an entry nor an endpoint process exceeds the bound."""
         for size in SIZES:
             with self.subTest(size=size):
                 fleet = Fleet(*size)
-                fleet.greet()
+                fleet.subscribe()
                 wire = fleet.wire
                 found = (
                     most(wire.sent, fleet.entries),
@@ -267,12 +267,12 @@
                 self.assertLessEqual(max(found), MOST_BYTES_PER_S, found)
 
     async def test_reports(self) -> None:
-        """Neither a reporting process nor an entry has more than its bound."""
+        """Neither an endpoint process nor an entry exceeds the bound."""
         for size in SIZES[:4]:
             with self.subTest(size=size):
                 fleet = Fleet(*size)
-                fleet.all_say = True
-                fleet.greet()
+                fleet.all_have_notices = True
+                fleet.subscribe()
                 fleet.wire.received.clear()
                 for number, _ in enumerate(fleet.engines):
                     await fleet.report(number)
@@ -285,27 +285,29 @@
                 self.assertLessEqual(max(found), MOST_BYTES_PER_S, found)
 
     async def test_the_list_of_peers_is_asked_for_nearby(self) -> None:
-        """An entry of another zone is asked only where none of this one is."""
+        """Other zones are asked only until an entry of this zone subscribes."""
         fleet = Fleet(98, 60, 5)
-        fleet.greet()
+        fleet.subscribe()
         endpoint = fleet.endpoint(0)
         asked: list[str] = []
         endpoint.talk._peers = Asked(asked)
-        told = fleet.wire.last[fleet.engines[0]]
-        far = [one for one in told if one[1].entry.zone != fleet.zone(0)]
-        near = [one for one in told if one[1].entry.zone == fleet.zone(0)]
+        received = fleet.wire.last[fleet.engines[0]]
+        far = [sent for sent in received if sent[1].entry.zone != fleet.zone(0)]
+        near = [
+            sent for sent in received if sent[1].entry.zone == fleet.zone(0)
+        ]
         for source, news in (far[0], near[0], far[1], near[1]):
             endpoint.talk.handle_news(news, (source, PORT))
         endpoint.driver.close()
         self.assertEqual(asked, [far[0][0], near[0][0], near[1][0]])
 
-    def test_crowds_of_changes(self) -> None:
-        """Versions named a hundred times a second are told ten times."""
-        self.assertLessEqual(played(names=True), 21)
+    def test_bursts_of_changes_are_combined(self) -> None:
+        """Versions named 100 times per second are sent 10 times."""
+        self.assertLessEqual(subscriptions_sent(names=True), 21)
 
-    def test_changes_that_are_no_news(self) -> None:
-        """A list of which nothing but warmth changes is told each second."""
-        self.assertLessEqual(played(names=False), 3)
+    def test_changes_that_are_not_announced(self) -> None:
+        """If only warm-up changes in the list, an entry sends once a second."""
+        self.assertLessEqual(subscriptions_sent(names=False), 3)
 
 
 if __name__ == '__main__':
