--- a/src/linnetwood/calls/candidates.py
+++ b/src/linnetwood/calls/candidates.py
@@ -41,7 +41,7 @@
     """Give the hosts to subscribe to, and how many entries this one stands for.
 
     Places are zones by host. Each host gets the subscriptions of only a part of
-    the entries; the values it gets add up to about the number of all entries.
+    the entries; the numbers it gets add up to about the number of all entries.
     """
     by_zone: dict[str, list[str]] = {}
     for listed_host, listed_zone in places.items():
--- a/src/linnetwood/calls/choice.py
+++ b/src/linnetwood/calls/choice.py
@@ -25,10 +25,10 @@
 _JITTER_S = 0.01
 _FAILURE_PENALTY_S = 2.0
 _VERSION_CHANGE_PENALTY_S = 1.5
-# Statistics of an endpoint outlive its record and its last report by this.
+# Statistics of an unlisted endpoint are kept until its last report is this old.
 _FORGET_AFTER_S = 10.0
 # An endpoint that fails now and then has a smaller penalty than this.
-_HEALTHY_PENALTY_S = 1.0
+_MAX_HEALTHY_PENALTY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -59,7 +59,7 @@
     endpoint: Endpoint
     wait_s: float
     version: int = 0
-    far: bool = False
+    is_remote: bool = False
     # Plain services don't report and count as fresh.
     reporting: Reporting = Reporting.FRESH
 
@@ -71,8 +71,8 @@
         """Choose among the directory's endpoints."""
         self.stats: dict[str, EndpointStats] = {}
         self.candidates = Candidates(directory)
-        # How many entries share the rate limits of endpoints.
-        self.entry_count: Callable[[], int] = _count_self
+        # How many entries share the call rates of cold or limited endpoints.
+        self.entry_count: Callable[[], int] = _single_entry
         self.notices = Notices()
         self._warmup_limiter = WarmupLimiter(rng, lambda: self.entry_count())
         self._rate_limits = RateLimits(
@@ -215,15 +215,15 @@
     ) -> Choice | None:
         best: tuple[tuple[Reporting, float], Choice] | None = None
         for endpoint in eligible:
-            # A prediction for one without reports must not beat the others.
+            # A prediction without recent reports must not beat the others.
             reporting = self._reporting(requirements, endpoint, now)
             wait_s = self.wait_s(requirements, endpoint, now)
             cost_s = wait_s + self._penalty_s(endpoint, now)
             cost_s += self._rng.random() * _JITTER_S
             if best is None or (reporting, cost_s) < best[0]:
                 version = self._version(requirements, endpoint)
-                far = endpoint.zone != requirements.zone
-                choice = Choice(endpoint, wait_s, version, far, reporting)
+                is_remote = endpoint.zone != requirements.zone
+                choice = Choice(endpoint, wait_s, version, is_remote, reporting)
                 best = ((reporting, cost_s), choice)
         return best[1] if best else None
 
@@ -244,7 +244,7 @@
         healthy = [
             endpoint
             for endpoint in eligible
-            if self._penalty_s(endpoint, now) < _HEALTHY_PENALTY_S
+            if self._penalty_s(endpoint, now) < _MAX_HEALTHY_PENALTY_S
         ]
         return pick_two(healthy or eligible, number)
 
@@ -361,7 +361,7 @@
         return penalty_s
 
 
-def _count_self() -> int:
+def _single_entry() -> int:
     return 1
 
 
--- a/src/linnetwood/calls/directory.py
+++ b/src/linnetwood/calls/directory.py
@@ -9,9 +9,10 @@
 
 # A list that was unreachable may have dropped records of running endpoints;
 # they are written again within about 2 s of its return. An endpoint that left
-# meanwhile must get no calls 2 s after its leaving was acknowledged.
+# meanwhile must get no calls from 2 s after its leaving was acknowledged.
 KEPT_AFTER_OUTAGE_S = 1.4
-# An outage ends some time before this process notices that it has ended.
+# Removals within this time after a failed read are held back, since an outage
+# may end some time before this process notices it.
 _OUTAGE_GRACE_S = 3.0
 # Covers the ids of a fleet of 600 endpoints over days of restarts.
 _MAX_BORN_TIMES = 4096
@@ -61,7 +62,8 @@
         self._by_service: dict[str, dict[str, Endpoint]] = {}
         self._by_host: dict[str, str] = {}
         self._removal_due_at: dict[str, float] = {}
-        # Zones whose endpoints get no calls, and when other zones came back.
+        # Zones whose endpoints get no calls, and when the evacuation of others
+        # ended.
         self.evacuated: frozenset[str] = frozenset()
         self._evacuation_ended_at: dict[str, float] = {}
         self._cold_until: dict[str, float] = {}
@@ -148,7 +150,7 @@
         self._outage_at = now
 
     def expire(self, now: float) -> None:
-        """Remove endpoints that were kept after an outage and are overdue."""
+        """Remove endpoints that were held back long enough, and past marks."""
         self._cold_until = {
             incarnation_id: until
             for incarnation_id, until in self._cold_until.items()
--- a/src/linnetwood/calls/endpointstats.py
+++ b/src/linnetwood/calls/endpointstats.py
@@ -8,8 +8,9 @@
 
 _FAILURE_WEIGHT = 0.2
 _REPORT_FRESH_S = 1.5
-# Some reports are lost: they are overdue when 3 in a row are missing, plus a
-# margin. At the usual rate of 10 per second this is 0.4 s.
+# Some reports are lost: an engine is overdue when 3 in a row are missing, and
+# its last report stays fresh a little longer. At the usual rate of 10 reports
+# per second it is overdue after 0.4 s.
 _MAX_MISSED_REPORTS = 3
 _OVERDUE_MARGIN_S = 0.1
 _USUAL_INTERVAL_S = 0.1
@@ -48,8 +49,8 @@
     link_delay_s: float = 0
     # Seconds until the next report is due.
     interval_s: float = _USUAL_INTERVAL_S
-    # The latest notice in answers to other entries, the mark of the incarnation
-    # that gave it, and when.
+    # The latest notice that any entry got in an answer, the mark of the
+    # incarnation that gave it, and when.
     notice: Notice | None = None
     notice_mark: int = 0
     notice_at: float = -math.inf
--- a/src/linnetwood/calls/notices.py
+++ b/src/linnetwood/calls/notices.py
@@ -115,8 +115,8 @@
     if limit_per_s is None and (notice.unreadable or not notice.complete):
         limit_per_s = known.limit_per_s
     leaving = known.leaving or notice.leaving
-    unread = notice.unreadable or known.unreadable
-    return Notice(limit_per_s, leaving, unreadable=unread)
+    unreadable = notice.unreadable or known.unreadable
+    return Notice(limit_per_s, leaving, unreadable=unreadable)
 
 
 _EMPTY = Notice()
--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -28,10 +28,10 @@
     News,
 )
 
-# An endpoint process reports to the entries that subscribed within 4 of these.
+# An endpoint process reports to an entry for 4 of these after a subscription.
 SUBSCRIBE_EVERY_S = 1.0
 # While the list changes all the time, as when many endpoints start, changes are
-# sent together; this delay leaves the receivers most of any bound.
+# sent together. Receivers still have most of any time bound left.
 _MIN_SUBSCRIBE_GAP_S = 0.1
 # A notice is forwarded again if no report has it after this time.
 _FORWARD_AGAIN_AFTER_S = 0.5
--- a/src/linnetwood/calls/reportsubscriptions.py
+++ b/src/linnetwood/calls/reportsubscriptions.py
@@ -57,7 +57,7 @@
     ) -> None:
         """Subscribe as the entry of a host in an availability zone."""
         self.peers = PeerListServer()
-        # The store revision of which the directory is.
+        # The store revision that the directory reflects.
         self.revision: Callable[[], int] = _unknown
         self._entry_host = entry_host
         self._zone = zone
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -177,7 +177,7 @@
         self.assertLessEqual(max(self.running.values()), 8)
 
     def test_load_of_one_zone_only(self) -> None:
-        """Its overflow is spread over other zones with under 10 % unused."""
+        """Other zones take its overflow with under 10 in 100 unused."""
         self.send(960, 1)
         other_zones = [
             self.running[host]
