--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -132,7 +132,9 @@
         # Each entry knows the limit now.
         times.clear()
         for _ in range(CALLS):
-            calls = [entry.run(self.call(), RecordingSink()) for entry in entries]
+            calls = [
+                entry.run(self.call(), RecordingSink()) for entry in entries
+            ]
             await asyncio.gather(*calls)
         self.assertLessEqual(most_in_span(times), allowed(1.0))
 
