--- a/src/linnetwood/lab/transfers.py
+++ b/src/linnetwood/lab/transfers.py
@@ -16,10 +16,10 @@
 from linnetwood.fleet.neighbours import partners
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.weights import waves
-from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.inflow import Inflow
 from linnetwood.weights.reading import Ring, SharedReading, ZoneReading
-from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm, brought
+from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm, progress_of
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.takeover import TakeOver
 from linnetwood.weights.versionplan import Outlook, VersionPlan
 
@@ -223,7 +223,7 @@
             if not flow.began:
                 flow.began = True
                 swarm = flow.vm.swarms[flow.version]
-                swarm.flows(flow.fetch.index, source, now)
+                swarm.record_first_byte(flow.fetch.index, source, now)
             yield flow
 
     def _shares(self, sent: list[_Flow]) -> dict[_Flow, float]:
@@ -249,8 +249,8 @@
         self._flows.remove(flow)
         swarm = flow.vm.swarms.get(flow.version)
         if swarm is not None:
-            swarm.failed(flow.fetch.index, flow.fetch.source)
-            swarm.origin_failed(now)
+            swarm.record_failure(flow.fetch.index, flow.fetch.source)
+            swarm.record_origin_failure(now)
 
     def _arrive(self, flow: _Flow, now: float) -> None:
         self._flows.remove(flow)
@@ -261,8 +261,8 @@
         if swarm is None:
             return
         if of_origin:
-            swarm.origin_answered(now)
-        swarm.arrived(flow.fetch.index, flow.fetch.source)
+            swarm.record_origin_answer(now)
+        swarm.record_chunk(flow.fetch.index, flow.fetch.source)
         if swarm.complete:
             flow.vm.complete_at.setdefault(flow.version, now)
             self._note_whole(flow.version, now)
@@ -287,7 +287,7 @@
                 ]
                 held = vm.swarms[version].held
                 for swarm in filter(None, there):
-                    swarm.notice(vm.me, held, queued[vm.me])
+                    swarm.update_peer(vm.me, held, queued[vm.me])
 
     def _give_up(self, vm: _Vm, version: int, now: float) -> None:
         swarm = vm.swarms[version]
@@ -298,8 +298,8 @@
         }
         for index in swarm.expired(now, heard_at):
             source = swarm.pending[index].source
-            swarm.failed(index, source)
-            swarm.avoid(source, now)
+            swarm.record_failure(index, source)
+            swarm.record_silence(source, now)
             self._flows = [
                 flow
                 for flow in self._flows
@@ -317,7 +317,9 @@
                 self._begin(vm, version, fetch, now)
 
     def _outlook(self, vm: _Vm, now: float) -> Outlook:
-        here = {version: brought(swarm) for version, swarm in vm.swarms.items()}
+        here = {
+            version: progress_of(swarm) for version, swarm in vm.swarms.items()
+        }
         place = self._place
         return Outlook(
             MODEL,
@@ -343,7 +345,7 @@
         first = vm.swarms.get(aim)
         pending = first is not None and not first.complete
         for version, swarm in vm.swarms.items():
-            swarm.ahead = pending and version != aim
+            swarm.origin_only = pending and version != aim
 
     def _wants(self, vm: _Vm) -> Iterator[int]:
         yield vm.aim
@@ -351,7 +353,7 @@
         swarm = vm.swarms.get(vm.aim)
         if newest == vm.aim or swarm is None:
             return
-        if self._ways.plan.reads_ahead(brought(swarm)):
+        if self._ways.plan.reads_ahead(progress_of(swarm)):
             yield newest
 
     def _drop(self, vm: _Vm, version: int) -> None:
@@ -402,8 +404,8 @@
         }
         vm.partners[version] = sorted(found)
         for other in found:
-            swarm.meet(other)
-        swarm.nearby(near)
+            swarm.add_peer(other)
+        swarm.mark_nearby(near)
 
     def _begin(self, vm: _Vm, version: int, fetch: Fetch, now: float) -> None:
         swarm = vm.swarms[version]
@@ -412,8 +414,8 @@
             full = reading >= self._place.connections
             if full or self._is_away(vm, now):
                 self.outcome.refused += full
-                swarm.failed(fetch.index, ORIGIN)
-                swarm.origin_failed(now)
+                swarm.record_failure(fetch.index, ORIGIN)
+                swarm.record_origin_failure(now)
                 return
         flow = _Flow(vm, version, fetch, self._place.chunk_bytes)
         self._flows.append(flow)
@@ -438,7 +440,7 @@
         name = f'{MODEL}@{vm.aim}'
         first = waves.in_first_wave(vm.me, self._zones, name)
         cutoff = self._wanted.cutoff(MODEL, vm.aim) or 0
-        return waves.change_at(
+        return waves.change_due_at(
             vm.complete_at[vm.aim],
             cutoff,
             _FINISHES_S[1],
--- a/src/linnetwood/programs/endpoint.py
+++ b/src/linnetwood/programs/endpoint.py
@@ -75,7 +75,7 @@
         )
         self.runtime.gossip.add_listener(self)
         if self.agent is not None:
-            self.runtime.config.add_listener(self.agent.configured)
+            self.runtime.config.add_listener(self.agent.apply_config)
             self.agent.start()
         self._epochs = asyncio.create_task(self._advance_epochs())
 
--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -16,7 +16,6 @@
 from linnetwood.gen.schema.ttypes import Configuration, Intent
 from linnetwood.gen.wire.ttypes import HeldNotice, Member, TransferProgress
 from linnetwood.weights import chunks
-from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.keeper import EngineKeeper, Target
 from linnetwood.weights.orders import Orders
 from linnetwood.weights.reading import (
@@ -27,6 +26,7 @@
     Turns,
 )
 from linnetwood.weights.staging import Staging
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.transfer import Download, Tools
 
 _WAKE_S = 0.5
@@ -88,7 +88,7 @@
             total=download.swarm.count if download else 0,
         )
 
-    def configured(self, configuration: Configuration) -> None:
+    def apply_config(self, configuration: Configuration) -> None:
         """Take in a newer configuration."""
         self._configuration = configuration
         self._wake_up()
@@ -303,7 +303,7 @@
             return
         # Whoever is gone has no turn at the origin any more.
         swarm = download.swarm
-        elapsed_s = self._tools.clock.now() - swarm.started
+        elapsed_s = self._tools.clock.now() - swarm.started_at
         before = Turns(swarm.policy.turns(), elapsed_s)
         swarm.policy = self._policy(
             download.name,
--- a/src/linnetwood/weights/fetching.py
+++ b/src/linnetwood/weights/fetching.py
@@ -9,11 +9,11 @@
 from linnetwood.fleet.neighbours import partners
 from linnetwood.gen.wire.ttypes import HeldNotice, Member
 from linnetwood.weights import chunks
-from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.engine import Engine, Origin
 from linnetwood.weights.manifests import Manifests
 from linnetwood.weights.reading import Ring, SharedReading, ZoneReading
-from linnetwood.weights.swarm import brought
+from linnetwood.weights.swarm import progress_of
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.takeover import TakeOver, after_the_rest
 from linnetwood.weights.transfer import Download, Tools
 from linnetwood.weights.versionplan import Brought
@@ -120,12 +120,12 @@
         download = self._downloads.get(first)
         pending = download is not None and not download.swarm.complete
         for aim, other in self._downloads.items():
-            other.swarm.ahead = pending and aim != first
+            other.swarm.origin_only = pending and aim != first
 
     def brought(self, model: str) -> dict[int, Brought]:
         """Give how far each version of a model is here."""
         return {
-            aim.version: brought(download.swarm)
+            aim.version: progress_of(download.swarm)
             for aim, download in self._downloads.items()
             if aim.model == model
         }
@@ -299,7 +299,9 @@
             return
         self._met[aim] = self.around.peers
         cfg = self._options(download.manifest)
-        download.swarm.reroute(*self._turns(aim, download.swarm.count, cfg))
+        download.swarm.set_policies(
+            *self._turns(aim, download.swarm.count, cfg)
+        )
         near = self._near()
         hosts = self.partners(aim.name)
         download.neighbours([_member(host, self._port) for host in hosts])
--- a/src/linnetwood/weights/follower.py
+++ b/src/linnetwood/weights/follower.py
@@ -225,7 +225,7 @@
         if cutoff is None or serves_nothing:
             return now_s
         first = self._first_wave(aim)
-        return waves.change_at(
+        return waves.change_due_at(
             self._complete_at,
             cutoff,
             ENGINE_SWITCH_S,
--- a/src/linnetwood/weights/reading.py
+++ b/src/linnetwood/weights/reading.py
@@ -7,7 +7,7 @@
 
 from linnetwood.fleet.members import hash64
 from linnetwood.weights import chunks
-from linnetwood.weights.bounds import SwarmOptions
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.takeover import Away, TakeOver, after_the_rest
 
 _RING_POINTS = 16
--- a/src/linnetwood/weights/swarm.py
+++ b/src/linnetwood/weights/swarm.py
@@ -7,10 +7,10 @@
 
 from linnetwood.core.backoff import pause_s
 from linnetwood.weights import chunks
-from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.inflow import Flight, Inflow
 from linnetwood.weights.reading import TAKERS, DueTimes, OriginPolicy
 from linnetwood.weights.silence import Silence
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.takeover import Away
 from linnetwood.weights.versionplan import Brought
 
@@ -40,18 +40,18 @@
 class Peer:
     """What is known of one neighbour."""
 
-    __slots__ = ('far', 'held', 'outstanding', 'queued', 'shunned_until')
+    __slots__ = ('blocked_until', 'held', 'is_remote', 'outstanding', 'queued')
 
     def __init__(self) -> None:
         """Know nothing."""
-        self.far = False
+        self.is_remote = False
         self.held = 0
         self.queued = 0
         self.outstanding = 0
-        self.shunned_until = float()
+        self.blocked_until = float()
 
 
-class Pending:
+class PendingFetch:
     """One fetch under way."""
 
     __slots__ = ('flight', 'source')
@@ -62,7 +62,7 @@
         self.flight = flight
 
     @property
-    def since(self) -> float:
+    def requested_at(self) -> float:
         """Give since when."""
         return self.flight.since
 
@@ -91,9 +91,9 @@
         self.count = count
         self.held = held
         self.peers: dict[str, Peer] = {}
-        self.pending: dict[int, Pending] = {}
+        self.pending: dict[int, PendingFetch] = {}
         self.policy = policy
-        self.started = now
+        self.started_at = now
         self._cfg = cfg
         self._rng = rng
         self._origin_failures = 0
@@ -112,7 +112,7 @@
         turns_s = count * cfg.chunk_origin_s + TAKERS * cfg.takeover_s
         self._turns_over_at = now + turns_s
         # While another version comes first, only the origin is asked.
-        self.ahead = False
+        self.origin_only = False
 
     @property
     def complete(self) -> bool:
@@ -120,28 +120,28 @@
         return self.held == chunks.full(self.count)
 
     @property
-    def known(self) -> int:
+    def available(self) -> int:
         """Give the bitmap of chunks that are held here or by a neighbour."""
         found = self.held
         for peer in self.peers.values():
             found |= peer.held
         return found
 
-    def meet(self, vm: str) -> Peer:
+    def add_peer(self, vm: str) -> Peer:
         """Give the record of a neighbour, new if need be."""
         return self.peers.setdefault(vm, Peer())
 
-    def nearby(self, vms: Collection[str]) -> None:
+    def mark_nearby(self, vms: Collection[str]) -> None:
         """Note which neighbours are near; the others count as far."""
         for vm, peer in self.peers.items():
-            peer.far = vm not in vms
+            peer.is_remote = vm not in vms
 
-    def reroute(self, policy: OriginPolicy, far: DueTimes | None) -> None:
+    def set_policies(self, policy: OriginPolicy, far: DueTimes | None) -> None:
         """Follow new turns: the fleet has changed."""
         self.policy = policy
         self._far = far
 
-    def part(self, vm: str) -> None:
+    def remove_peer(self, vm: str) -> None:
         """Forget a neighbour that is gone, and what was asked of it.
 
         What it had sent by then still comes.
@@ -155,7 +155,7 @@
                 self._inflow.left(pending.flight)
                 self._settle(index)
 
-    def notice(self, vm: str, held: int, queued: int) -> None:
+    def update_peer(self, vm: str, held: int, queued: int) -> None:
         """Note what a neighbour holds and how many wait on it.
 
         What comes late from a neighbour that was parted from is ignored: it
@@ -169,13 +169,13 @@
         peer.queued = queued
         self._silence.heard(vm)
 
-    def flows(self, index: int, source: str, now: float) -> None:
+    def record_first_byte(self, index: int, source: str, now: float) -> None:
         """Note the first byte of what was asked for."""
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
             self._inflow.flows(pending.flight, now)
 
-    def arrived(self, index: int, source: str) -> bool:
+    def record_chunk(self, index: int, source: str) -> bool:
         """Note a checked chunk; tell whether it was new.
 
         What comes late from one that was left is not what another was asked
@@ -192,13 +192,13 @@
         self.held |= bit
         return fresh
 
-    def failed(self, index: int, source: str) -> None:
+    def record_failure(self, index: int, source: str) -> None:
         """Note a fetch that brought nothing."""
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
             self._settle(index)
 
-    def origin_failed(self, now: float) -> None:
+    def record_origin_failure(self, now: float) -> None:
         """Note that the origin gave no answer: it is left alone for a while."""
         pause = pause_s(
             self._origin_failures,
@@ -211,19 +211,19 @@
         self._origin_failed_at = now
         self._origin_answered_at = None
         self._others_read_at = None
-        self._known_count = self.known.bit_count()
+        self._known_count = self.available.bit_count()
         self._origin_free_at = now + pause
 
-    def origin_answered(self, now: float) -> None:
+    def record_origin_answer(self, now: float) -> None:
         """Note that the origin is there."""
         self._origin_failures = 0
         self._origin_answered_at = now
 
-    def shun(self, vm: str, now: float) -> None:
+    def record_bad_chunk(self, vm: str, now: float) -> None:
         """Ask nothing more of a peer that sent a bad chunk, for a while."""
         peer = self.peers.get(vm)
         if peer is not None:
-            peer.shunned_until = now + _SHUN_S
+            peer.blocked_until = now + _SHUN_S
 
     def expired(
         self,
@@ -240,7 +240,7 @@
             if self._overdue(pending, now, heard_at)
         ]
 
-    def avoid(self, vm: str, now: float) -> None:
+    def record_silence(self, vm: str, now: float) -> None:
         """Ask nothing of a peer that fell silent, for a while.
 
         What was asked of it may still come.
@@ -248,7 +248,7 @@
         self._inflow.gave_up(now)
         peer = self.peers.get(vm)
         if peer is not None:
-            peer.shunned_until = max(peer.shunned_until, now + _AVOID_S)
+            peer.blocked_until = max(peer.blocked_until, now + _AVOID_S)
             self._silence.fell(vm, self.peers, now)
 
     def plan(self, now: float) -> Iterator[Fetch]:
@@ -262,7 +262,7 @@
         self._inflow.settle(now)
         unmeasured = max(self._cfg.window, self._cfg.origin_window)
         room = self._inflow.room(unmeasured)
-        if self.ahead:
+        if self.origin_only:
             of_origin = self._plan_origin(now)
             yield from itertools.islice(of_origin, max(0, room))
             return
@@ -281,15 +281,18 @@
 
     def _overdue(
         self,
-        pending: Pending,
+        pending: PendingFetch,
         now: float,
         heard_at: Mapping[str, float],
     ) -> bool:
-        if now - pending.since > self._cfg.request_timeout_s:
+        if now - pending.requested_at > self._cfg.request_timeout_s:
             return True
         if pending.source == ORIGIN:
             return False
-        last = max(pending.since, heard_at.get(pending.source, pending.since))
+        last = max(
+            pending.requested_at,
+            heard_at.get(pending.source, pending.requested_at),
+        )
         patience_s = _OWED_FACTOR * self._inflow.patience_s
         return now - last > max(self._cfg.silence_s, patience_s)
 
@@ -329,7 +332,7 @@
         """Give what is known of the origin, if it failed."""
         if self._origin_failed_at is None:
             return None
-        known = self.known
+        known = self.available
         if (
             self._others_read_at is None
             and known.bit_count() > self._known_count
@@ -352,7 +355,7 @@
                 yield index
 
     def _origin_due(self, index: int, away: Away | None) -> float | None:
-        due = self.policy.due_at(index, self.started)
+        due = self.policy.due_at(index, self.started_at)
         if due is None or away is None:
             return due
         return max(due, self.policy.again_at(index, away))
@@ -381,7 +384,7 @@
             vm: peer
             for vm, peer in self.peers.items()
             if peer.outstanding < self._cfg.per_peer
-            and peer.shunned_until <= now
+            and peer.blocked_until <= now
             and peer.queued < self._cfg.queue_limit
             and peer.held & ~self.held
         }
@@ -398,7 +401,7 @@
         ]
         near = 0
         for peer in self.peers.values():
-            near |= 0 if peer.far else peer.held
+            near |= 0 if peer.is_remote else peer.held
         self._rng.shuffle(indices)
         # What nobody near holds goes first: all others near wait for it.
         indices.sort(key=lambda index: (near >> index & 1, self._rarity[index]))
@@ -407,7 +410,7 @@
     def _far_due(self, index: int, now: float) -> bool:
         if self._far is None:
             return True
-        due = self._far.due_at(index, self.started)
+        due = self._far.due_at(index, self.started_at)
         return due is not None and due <= now
 
     def _quietest(
@@ -418,14 +421,14 @@
     ) -> str | None:
         holders = [vm for vm, peer in free.items() if peer.held >> index & 1]
         if not self._far_due(index, now):
-            holders = [vm for vm in holders if not free[vm].far]
+            holders = [vm for vm in holders if not free[vm].is_remote]
         if not holders:
             return None
         self._rng.shuffle(holders)
         return min(
             holders,
             key=lambda vm: (
-                free[vm].far,
+                free[vm].is_remote,
                 free[vm].queued + free[vm].outstanding,
             ),
         )
@@ -434,7 +437,7 @@
         of_peer = fetch.source != ORIGIN
         # All VMs share the origin's link: it tells nothing of this one's.
         flight = self._inflow.asked(now, sampled=of_peer)
-        self.pending[fetch.index] = Pending(fetch.source, flight)
+        self.pending[fetch.index] = PendingFetch(fetch.source, flight)
         self._peers_next = not of_peer
         if of_peer:
             self.peers[fetch.source].outstanding += 1
@@ -455,10 +458,10 @@
             self._rarity[index] += change
 
 
-def brought(swarm: Swarm) -> Brought:
+def progress_of(swarm: Swarm) -> Brought:
     """Tell how far a version is here."""
     return Brought(
         swarm.count,
         swarm.count - swarm.held.bit_count(),
-        swarm.count - swarm.known.bit_count(),
+        swarm.count - swarm.available.bit_count(),
     )
--- a/src/linnetwood/weights/transfer.py
+++ b/src/linnetwood/weights/transfer.py
@@ -14,11 +14,11 @@
 from linnetwood.core.waits import happened
 from linnetwood.gen.wire.ttypes import HeldNotice, Member
 from linnetwood.weights import chunks
-from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.exchange import Fetcher, Tally, Uploads
 from linnetwood.weights.inflow import Inflow
 from linnetwood.weights.reading import DueTimes, OriginPolicy
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.wire.connections import Address
 from linnetwood.wire.links import Link
 
@@ -100,15 +100,15 @@
 
     def nearby(self, vms: Collection[str]) -> None:
         """Set which neighbours cost little to ask."""
-        self.swarm.nearby(vms)
+        self.swarm.mark_nearby(vms)
 
     def neighbours(self, members: list[Member]) -> None:
         """Set whom to exchange chunks with."""
         wanted = {member.vm: (member.host, member.port) for member in members}
         for vm in set(self._addresses) - set(wanted):
-            self.swarm.part(vm)
+            self.swarm.remove_peer(vm)
         for vm in wanted:
-            self.swarm.meet(vm)
+            self.swarm.add_peer(vm)
         self._addresses = wanted
         self._wake.set()
 
@@ -117,7 +117,7 @@
         if notice.sender not in self._addresses:
             return
         held = chunks.from_bytes(notice.held, self.swarm.count)
-        self.swarm.notice(notice.sender, held, notice.queued)
+        self.swarm.update_peer(notice.sender, held, notice.queued)
         self._wake.set()
 
     async def _run(self) -> None:
@@ -144,8 +144,8 @@
             task.cancel()
         pending = self.swarm.pending.get(index)
         if pending is not None:
-            self.swarm.failed(index, pending.source)
-            self.swarm.avoid(pending.source, now)
+            self.swarm.record_failure(index, pending.source)
+            self.swarm.record_silence(pending.source, now)
             log(
                 Event.PEER_SILENT,
                 manifest=self.name,
@@ -160,21 +160,21 @@
             else:
                 chunk = await self._from_peer(fetch)
         except LinnetwoodError as exc:
-            self.swarm.failed(fetch.index, fetch.source)
+            self.swarm.record_failure(fetch.index, fetch.source)
             if fetch.source == ORIGIN:
-                self.swarm.origin_failed(self._tools.clock.now())
+                self.swarm.record_origin_failure(self._tools.clock.now())
                 log(Event.ORIGIN_UNREACHABLE, detail=str(exc))
             return
         if chunk:
             self._keep(fetch, chunk)
         else:
-            self.swarm.failed(fetch.index, fetch.source)
+            self.swarm.record_failure(fetch.index, fetch.source)
 
     async def _from_origin(self, index: int) -> bytes:
         if self.swarm.policy.takes_over(index):
             log(Event.ORIGIN_TAKEN_OVER, manifest=self.name, index=index)
         chunk = await self._tools.origin.read(self.name, index)
-        self.swarm.origin_answered(self._tools.clock.now())
+        self.swarm.record_origin_answer(self._tools.clock.now())
         await self._tools.link.receive(len(chunk))
         self._tools.tally.origin_bytes += len(chunk)
         self._tools.metrics.count(Metric.ORIGIN_BYTES, len(chunk))
@@ -192,13 +192,13 @@
             lambda: self._flows(fetch),
         )
         held = chunks.from_bytes(reply.held, self.swarm.count)
-        self.swarm.notice(fetch.source, held, reply.queued)
+        self.swarm.update_peer(fetch.source, held, reply.queued)
         self._tools.tally.peer_bytes += len(chunk)
         return chunk
 
     def _flows(self, fetch: Fetch) -> None:
         now = self._tools.clock.now()
-        self.swarm.flows(fetch.index, fetch.source, now)
+        self.swarm.record_first_byte(fetch.index, fetch.source, now)
 
     def _keep(self, fetch: Fetch, chunk: bytes) -> None:
         tools = self._tools
@@ -206,7 +206,7 @@
             self._reject(fetch)
             return
         tools.metrics.count(Metric.CHUNKS_RECEIVED)
-        if not self.swarm.arrived(fetch.index, fetch.source):
+        if not self.swarm.record_chunk(fetch.index, fetch.source):
             tools.tally.repeated_bytes += len(chunk)
             tools.metrics.count(Metric.CHUNKS_REPEATED)
         if self.kept is not None:
@@ -216,7 +216,7 @@
         tools = self._tools
         tools.tally.bad_chunks += 1
         tools.metrics.count(Metric.CHUNKS_BAD)
-        self.swarm.failed(fetch.index, fetch.source)
+        self.swarm.record_failure(fetch.index, fetch.source)
         log(
             Event.CHUNK_BAD,
             manifest=self.name,
@@ -224,4 +224,4 @@
             source=fetch.source or 'origin',
         )
         if fetch.source != ORIGIN:
-            self.swarm.shun(fetch.source, tools.clock.now())
+            self.swarm.record_bad_chunk(fetch.source, tools.clock.now())
--- a/src/linnetwood/weights/waves.py
+++ b/src/linnetwood/weights/waves.py
@@ -12,7 +12,7 @@
 
 # The first wave drains from when this part of its chunks is missing: about
 # as long before the end of a transfer as calls take to finish.
-DRAINS_AT = 0.22
+DRAIN_MISSING_SHARE = 0.22
 
 
 def in_first_wave(me: str, vms: Iterable[str], name: str) -> bool:
@@ -23,10 +23,10 @@
 
 def is_draining(held: int, count: int, *, first: bool) -> bool:
     """Tell whether new calls should go elsewhere already."""
-    return first and count - held <= count * DRAINS_AT
+    return first and count - held <= count * DRAIN_MISSING_SHARE
 
 
-def change_at(
+def change_due_at(
     complete_at: float,
     cutoff: float,
     switch_s: float,
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -190,7 +190,7 @@
         )
         agent = WeightsAgent(tools, gossip, self.engine, self.guard)
         agent.start()
-        agent.configured(self.configuration())
+        agent.apply_config(self.configuration())
         return agent
 
     def configuration(self) -> Configuration:
@@ -219,7 +219,7 @@
             ],
             intents=intents,
         )
-        self.agent.configured(self.configuration())
+        self.agent.apply_config(self.configuration())
 
     async def restart(self) -> None:
         """Kill the process and start another."""
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -7,10 +7,10 @@
 
 from linnetwood.fleet.wanted import START_MARGIN_S
 from linnetwood.weights import chunks
-from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.inflow import Inflow
 from linnetwood.weights.reading import DirectReading, Ring, SharedReading, Turns
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
+from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.takeover import Away
 
 COUNT = 8
@@ -47,7 +47,7 @@
     cfg = SwarmOptions(**options)
     found = Swarm(COUNT, held, cfg, Nobody(), Random(1), 0)
     for vm in ('a', 'b'):
-        found.meet(vm)
+        found.add_peer(vm)
     return found
 
 
@@ -57,65 +57,65 @@
     def test_rarest_first(self) -> None:
         """Of two chunks the one that fewer hold goes first."""
         found = swarm(window=1)
-        found.notice('a', 0b11, 0)
-        found.notice('b', 0b01, 0)
+        found.update_peer('a', 0b11, 0)
+        found.update_peer('b', 0b01, 0)
         self.assertEqual([one.index for one in found.plan(0)], [1])
 
     def test_what_nobody_near_holds_goes_first(self) -> None:
         """All others near wait for the one VM that brings it."""
         found = swarm(window=1)
-        found.meet('c')
-        found.nearby({'a'})
-        found.notice('a', 0b01, 0)
-        found.notice('b', 0b10, 0)
-        found.notice('c', 0b10, 0)
+        found.add_peer('c')
+        found.mark_nearby({'a'})
+        found.update_peer('a', 0b01, 0)
+        found.update_peer('b', 0b10, 0)
+        found.update_peer('c', 0b10, 0)
         self.assertEqual([one.index for one in found.plan(0)], [1])
 
     def test_quietest_holder_is_asked(self) -> None:
         """Of two holders the one with the shorter queue is asked."""
         found = swarm(window=1)
-        found.notice('a', 0b1, 3)
-        found.notice('b', 0b1, 0)
+        found.update_peer('a', 0b1, 3)
+        found.update_peer('b', 0b1, 0)
         self.assertEqual([one.source for one in found.plan(0)], ['b'])
 
     def test_nothing_twice(self) -> None:
         """What is held or under way is not asked for."""
         found = swarm(held=0b1)
-        found.notice('a', 0b11, 0)
-        found.notice('b', 0b11, 0)
+        found.update_peer('a', 0b11, 0)
+        found.update_peer('b', 0b11, 0)
         self.assertEqual([one.index for one in found.plan(0)], [1])
         self.assertEqual(list(found.plan(0)), [])
 
     def test_shunned_peer_is_not_asked(self) -> None:
         """A peer that sent a bad chunk is left alone for a while."""
         found = swarm()
-        found.notice('a', 0b1, 0)
-        found.shun('a', 0)
+        found.update_peer('a', 0b1, 0)
+        found.record_bad_chunk('a', 0)
         self.assertEqual(list(found.plan(1)), [])
         self.assertEqual(len(list(found.plan(100))), 1)
 
     def test_gone_peer_frees_its_fetches(self) -> None:
         """What was asked of a peer that left is asked of another."""
         found = swarm()
-        found.notice('a', 0b1, 0)
+        found.update_peer('a', 0b1, 0)
         self.assertEqual(len(list(found.plan(0))), 1)
-        found.notice('b', 0b1, 0)
-        found.part('a')
+        found.update_peer('b', 0b1, 0)
+        found.remove_peer('a')
         self.assertEqual([one.source for one in found.plan(1)], ['b'])
 
     def test_late_word_of_a_parted_peer(self) -> None:
         """A peer that was parted from is not asked, whatever comes late."""
         found = swarm()
-        found.notice('a', 0b1, 0)
-        found.part('a')
-        found.notice('a', 0b1, 0)
-        found.shun('a', 0)
+        found.update_peer('a', 0b1, 0)
+        found.remove_peer('a')
+        found.update_peer('a', 0b1, 0)
+        found.record_bad_chunk('a', 0)
         self.assertEqual(list(found.plan(1)), [])
 
     def test_arrived_tells_repeats(self) -> None:
         """A chunk that comes twice is counted as repeated."""
         found = swarm()
-        fresh = [found.arrived(3, vm) for vm in ('a', 'b')]
+        fresh = [found.record_chunk(3, vm) for vm in ('a', 'b')]
         self.assertEqual(fresh, [True, False])
 
 
@@ -138,8 +138,8 @@
             cfg = SwarmOptions(window=window, origin_window=0)
             found = Swarm(COUNT, 0, cfg, Nobody(), Random(1), 0)
             for vm in ('a', 'b', 'c'):
-                found.meet(vm)
-                found.notice(vm, 0b1111, 0)
+                found.add_peer(vm)
+                found.update_peer(vm, 0b1111, 0)
             with self.subTest(window=window):
                 self.assertEqual(len(list(found.plan(0))), asked)
                 self.assertEqual(len(list(found.plan(0))), 0)
@@ -170,8 +170,8 @@
         now = 0.0
         for _ in range(8):
             asked = next(found.plan(now))
-            found.failed(asked.index, ORIGIN)
-            found.origin_failed(now)
+            found.record_failure(asked.index, ORIGIN)
+            found.record_origin_failure(now)
             steps = range(1, 100)
             pause = next(
                 step / 100
@@ -179,13 +179,13 @@
                 for asked in found.plan(now + step / 100)
             )
             now += pause
-            found.failed(asked.index, ORIGIN)
+            found.record_failure(asked.index, ORIGIN)
             pauses.append(pause)
         self.assertLess(pauses[0], 0.11)
         self.assertGreater(pauses[-1], 0.39)
         self.assertLess(max(pauses), 0.81)
-        found.origin_answered(now)
-        found.origin_failed(now)
+        found.record_origin_answer(now)
+        found.record_origin_failure(now)
         self.assertEqual(len(list(found.plan(now + 0.1))), 1)
 
     def test_each_vm_reads_in_an_order_of_its_own(self) -> None:
@@ -210,7 +210,7 @@
         for vm in ('a', 'b', 'c'):
             policy = SharedReading(vm, ring, COUNT, cfg)
             found = Swarm(COUNT, 0, cfg, policy, Random(1), 0)
-            found.origin_failed(9)
+            found.record_origin_failure(9)
             reads += [one.index for one in found.plan(9.2)]
         self.assertEqual(sorted(reads), list(range(COUNT)))
 
@@ -218,15 +218,15 @@
         """A chunk seen at a neighbour is never read from the origin."""
         cfg = SwarmOptions(origin_window=COUNT)
         found = Swarm(COUNT, 0, cfg, DirectReading(COUNT), Random(1), 0)
-        found.meet('a')
-        found.notice('a', 0b1111, 9)
+        found.add_peer('a')
+        found.update_peer('a', 0b1111, 9)
         read = [one.index for one in found.plan(0) if one.source == ORIGIN]
         self.assertEqual(sorted(read), [4, 5, 6, 7])
 
     def test_a_silent_peer_is_left_for_another(self) -> None:
         """A peer whose VM stands still must not hold a chunk back for long."""
         found = swarm(window=1, request_timeout_s=5.0, silence_s=0.8)
-        found.notice('a', 0b1, 0)
+        found.update_peer('a', 0b1, 0)
         self.assertEqual([one.source for one in found.plan(0)], ['a'])
         cases: tuple[tuple[str, float, dict[str, float], list[int]], ...] = (
             ('just asked', 0.7, {}, []),
@@ -238,10 +238,10 @@
         for name, now, heard_at, expected in cases:
             with self.subTest(name=name):
                 self.assertEqual(found.expired(now, heard_at), expected)
-        found.failed(0, 'a')
-        found.avoid('a', 1.0)
+        found.record_failure(0, 'a')
+        found.record_silence('a', 1.0)
         self.assertEqual(list(found.plan(1.1)), [])
-        found.notice('b', 0b1, 0)
+        found.update_peer('b', 0b1, 0)
         self.assertEqual([one.source for one in found.plan(1.2)], ['b'])
 
     def test_what_only_silent_peers_hold_is_read(self) -> None:
@@ -255,15 +255,15 @@
             0,
         )
         for vm, held in (('a', 0b01), ('b', 0b01), ('c', 0b10)):
-            found.meet(vm)
-            found.notice(vm, held, 0)
+            found.add_peer(vm)
+            found.update_peer(vm, held, 0)
         for vm in ('a', 'b', 'c'):
-            found.avoid(vm, 1.0)
+            found.record_silence(vm, 1.0)
         self.assertEqual(list(found.plan(1.1)), [])
-        found.notice('c', 0b10, 0)
+        found.update_peer('c', 0b10, 0)
         self.assertEqual(list(found.plan(1.6)), [Fetch(0, ORIGIN)])
-        found.failed(0, ORIGIN)
-        found.notice('b', 0b01, 0)
+        found.record_failure(0, ORIGIN)
+        found.update_peer('b', 0b01, 0)
         self.assertEqual(list(found.plan(1.7)), [])
 
 
@@ -315,7 +315,7 @@
             if start + self.chunk_s <= now:
                 self._asked.remove((start, fetch))
                 if wanted:
-                    found.arrived(fetch.index, fetch.source)
+                    found.record_chunk(fetch.index, fetch.source)
 
     def _flow(
         self,
@@ -325,7 +325,7 @@
         now: float,
     ) -> None:
         if self.heard_at.get(fetch.source, -1) < start:
-            found.flows(fetch.index, fetch.source, now)
+            found.record_first_byte(fetch.index, fetch.source, now)
         self.heard_at[fetch.source] = min(now, start + self.chunk_s)
 
 
@@ -339,9 +339,9 @@
         policy = Reads(self.read_here)
         self.found = Swarm(self.count, 0, cfg, policy, Random(1), 0)
         for vm in 'abcdefghi':
-            self.found.meet(vm)
+            self.found.add_peer(vm)
             held = chunks.full(self.count) & ~self.read_here
-            self.found.notice(vm, held, 0)
+            self.found.update_peer(vm, held, 0)
         self.most = 0
         self.given_up = 0
 
@@ -365,8 +365,8 @@
             link.carry(found, now)
             for index in found.expired(now, link.heard_at):
                 source = found.pending[index].source
-                found.failed(index, source)
-                found.avoid(source, now)
+                found.record_failure(index, source)
+                found.record_silence(source, now)
                 self.given_up += 1
             for fetch in found.plan(now):
                 link.ask(fetch, now)
@@ -450,13 +450,13 @@
                 self._sent.remove((at, fetch))
                 self._free_at = max(self._free_at, self.now) + STATED_CHUNK_S
                 self._flowing.append((self._free_at, fetch))
-                found.flows(fetch.index, fetch.source, self.now)
+                found.record_first_byte(fetch.index, fetch.source, self.now)
 
     def _carry(self, found: Swarm) -> None:
         for at, fetch in list(self._flowing):
             if at <= self.now:
                 self._flowing.remove((at, fetch))
-                found.arrived(fetch.index, fetch.source)
+                found.record_chunk(fetch.index, fetch.source)
 
 
 class SendersTest(unittest.TestCase):
@@ -466,20 +466,20 @@
         """Where only the origin is slow, peers are asked beside it."""
         cfg = SwarmOptions(window=3)
         found = Swarm(COUNT, 0, cfg, EveryChunk(), Random(1), 0, None, Inflow())
-        found.meet('a')
-        found.meet('b')
+        found.add_peer('a')
+        found.add_peer('b')
         now = 0.0
         # Nobody else holds anything: the origin brings each in a second.
         for _ in range(3):
             asked = list(found.plan(now))
             now += 1
             for one in asked:
-                found.arrived(one.index, one.source)
+                found.record_chunk(one.index, one.source)
         left = ~found.held & chunks.full(COUNT)
         # Now two peers near hold one chunk of those that are left.
         offered = left & -left
-        found.notice('a', offered, 0)
-        found.notice('b', offered, 0)
+        found.update_peer('a', offered, 0)
+        found.update_peer('b', offered, 0)
         sources = {one.source for one in found.plan(now)}
         self.assertIn(ORIGIN, sources)
         self.assertTrue(sources & {'a', 'b'}, sources)
@@ -493,8 +493,8 @@
             policy = Reads(read_here)
             found = Swarm(count, 0, cfg, policy, Random(1), 0)
             for vm in 'abcdefghi':
-                found.meet(vm)
-                found.notice(vm, chunks.full(count) & ~read_here, 0)
+                found.add_peer(vm)
+                found.update_peer(vm, chunks.full(count) & ~read_here, 0)
             took_s = SlowSenders(peer_s, origin_s).fetch(found)
             each_s = max(
                 (peer_s + 2 * STATED_CHUNK_S) * count * 0.8 / 3,
@@ -508,12 +508,14 @@
         cfg = SwarmOptions(window=3, silence_s=0.8)
         found = Swarm(COUNT, 0, cfg, Nobody(), Random(1), 0)
         for vm in 'abc':
-            found.meet(vm)
-            found.notice(vm, 0b1111, 0)
+            found.add_peer(vm)
+            found.update_peer(vm, 0b1111, 0)
         dead, *others = found.plan(0)
         for number, fetch in enumerate(others):
-            found.flows(fetch.index, fetch.source, 0.7 + number / 100)
-            found.arrived(fetch.index, fetch.source)
+            found.record_first_byte(
+                fetch.index, fetch.source, 0.7 + number / 100
+            )
+            found.record_chunk(fetch.index, fetch.source)
             list(found.plan(0.75 + number / 100))
         self.assertEqual(found.expired(0.81, {}), [dead.index])
 
@@ -527,13 +529,13 @@
         found = Swarm(
             COUNT, 0, SwarmOptions(), Reads(0b1111), Random(1), 0, None, inflow
         )
-        found.meet('a')
-        found.notice('a', 0b11110000, 0)
+        found.add_peer('a')
+        found.update_peer('a', 0b11110000, 0)
         sources = []
         for step in range(4):
             fetch = next(found.plan(4 + step))
             sources.append(fetch.source)
-            found.failed(fetch.index, fetch.source)
+            found.record_failure(fetch.index, fetch.source)
         self.assertEqual(sources, [ORIGIN, 'a', ORIGIN, 'a'])
 
     def test_a_late_chunk_of_one_that_left_is_no_sample(self) -> None:
@@ -549,15 +551,15 @@
             None,
             inflow,
         )
-        found.meet('a')
-        found.meet('b')
-        found.notice('a', 1, 0)
+        found.add_peer('a')
+        found.add_peer('b')
+        found.update_peer('a', 1, 0)
         self.assertEqual(len(list(found.plan(0))), 1)
         # The list drops it for a moment; its chunk flows on.
-        found.part('a')
-        found.notice('b', 1, 0)
+        found.remove_peer('a')
+        found.update_peer('b', 1, 0)
         self.assertEqual(len(list(found.plan(0.4))), 1)
-        found.arrived(0, 'a')
+        found.record_chunk(0, 'a')
         inflow.settle(0.405)
         # It took 0.4 s; that nothing was measured is right as well.
         if inflow.chunk_s:
@@ -574,15 +576,15 @@
             COUNT, 0, SwarmOptions(), Nobody(), Random(1), 0, None, inflow
         )
         for vm in ('a', 'b'):
-            found.meet(vm)
-        found.notice('a', 0b1, 0)
+            found.add_peer(vm)
+        found.update_peer('a', 0b1, 0)
         list(found.plan(4))
-        found.part('a')
-        found.notice('b', 0b11, 0)
+        found.remove_peer('a')
+        found.update_peer('b', 0b11, 0)
         self.assertEqual(list(found.plan(4.1)), [])
         self.assertEqual([one.source for one in found.plan(5.1)], ['b'])
         for index in list(found.pending):
-            found.arrived(index, 'a')
+            found.record_chunk(index, 'a')
         self.assertEqual(list(found.plan(5.2)), [])
         self.assertEqual(len(list(found.plan(6.3))), 1)
 
@@ -632,11 +634,11 @@
             inflow,
         )
         for vm in ('a', 'b'):
-            found.meet(vm)
-            found.notice(vm, 0b11, 0)
+            found.add_peer(vm)
+            found.update_peer(vm, 0b11, 0)
         self.assertEqual(len(list(found.plan(2))), 1)
         source = next(iter(found.pending.values())).source
-        found.part(source)
+        found.remove_peer(source)
         self.assertEqual(list(found.plan(2.01)), [])
 
 
--- a/tests/test_waves.py
+++ b/tests/test_waves.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from linnetwood.weights.waves import change_at, in_first_wave, is_draining
+from linnetwood.weights.waves import change_due_at, in_first_wave, is_draining
 
 
 class WavesTest(unittest.TestCase):
@@ -38,7 +38,7 @@
         )
         for name, complete, cutoff, first, expected in cases:
             with self.subTest(name=name):
-                found = change_at(complete, cutoff, 2, first=first)
+                found = change_due_at(complete, cutoff, 2, first=first)
                 self.assertEqual(found, expected)
 
 
