--- a/src/linnetwood/lab/fakeorigin.py
+++ b/src/linnetwood/lab/fakeorigin.py
@@ -30,7 +30,7 @@
     def publish(self, weights: bytes, chunk_bytes: int) -> str:
         """Take in whole weights and give the manifest's name."""
         manifest = chunks.build(weights, chunk_bytes)
-        name = chunks.name_of(manifest.encode())
+        name = chunks.digest_name(manifest.encode())
         self.manifests[name] = manifest
         self.weights[name] = weights
         return name
--- a/src/linnetwood/lab/transfers.py
+++ b/src/linnetwood/lab/transfers.py
@@ -17,7 +17,7 @@
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.weights import waves
 from linnetwood.weights.bounds import SwarmOptions
-from linnetwood.weights.inflow import Inflow
+from linnetwood.weights.inboundlink import InboundLink
 from linnetwood.weights.reading import Ring, SharedReading, ZoneReading
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm, brought
 from linnetwood.weights.takeover import TakeOver
@@ -98,7 +98,7 @@
     __slots__ = (
         'aim',
         'complete_at',
-        'inflow',
+        'inbound_link',
         'me',
         'partners',
         'serving',
@@ -112,7 +112,7 @@
         self.zone = zone
         self.aim = 0
         self.serving = 1
-        self.inflow = Inflow()
+        self.inbound_link = InboundLink()
         self.swarms: dict[int, Swarm] = {}
         self.partners: dict[int, list[str]] = {}
         self.complete_at: dict[int, float] = {}
@@ -393,7 +393,7 @@
                 place.chunks,
                 _FAR_TAKEOVER_S,
             ),
-            vm.inflow,
+            vm.inbound_link,
         )
         vm.swarms[version] = swarm
         found = {
--- a/src/linnetwood/platform/weights.py
+++ b/src/linnetwood/platform/weights.py
@@ -11,7 +11,7 @@
 from linnetwood.core.errors import LinnetwoodError, OrderError, WeightsError
 from linnetwood.platform import checked, tables
 from linnetwood.weights.chunks import Manifest
-from linnetwood.weights.engine import EngineReport, Order
+from linnetwood.weights.engine import EngineReport, OrderResult
 from linnetwood.wire.asking import Answer, Patience, ask
 from linnetwood.wire.connections import SILENT_S
 from linnetwood.wire.curldriver import CurlDriver, Request
@@ -80,7 +80,9 @@
         if not answer.status or answer.status >= HTTPStatus.MULTIPLE_CHOICES:
             raise OrderError('engine-refused', _why(answer))
 
-    async def take(self, model: str, version: int, orders: int) -> Order:
+    async def activate(
+        self, model: str, version: int, orders: int
+    ) -> OrderResult:
         """Order it to serve what lies there, if it took so many orders."""
         body = json.dumps(
             {
@@ -100,14 +102,14 @@
         )
         if not answer.status:
             raise OrderError('engine-unreachable', _why(answer))
-        return _ORDERS.get(answer.status, Order.REFUSED)
+        return _ORDERS.get(answer.status, OrderResult.REFUSED)
 
 
-_ORDERS: Mapping[int, Order] = MappingProxyType(
+_ORDERS: Mapping[int, OrderResult] = MappingProxyType(
     {
-        int(HTTPStatus.ACCEPTED): Order.TAKEN,
-        int(HTTPStatus.OK): Order.DONE,
-        int(HTTPStatus.CONFLICT): Order.CONFLICT,
+        int(HTTPStatus.ACCEPTED): OrderResult.TAKEN,
+        int(HTTPStatus.OK): OrderResult.DONE,
+        int(HTTPStatus.CONFLICT): OrderResult.CONFLICT,
     },
 )
 
@@ -140,7 +142,7 @@
         except _BAD_ANSWER as exc:
             raise WeightsError('manifest-malformed', repr(exc)) from exc
 
-    async def piece(self, model: str, version: int, index: int) -> bytes:
+    async def chunk(self, model: str, version: int, index: int) -> bytes:
         """Read one chunk, unchecked."""
         query = urlencode({'quantity': index, 'version': version})
         place = f'/linnetwood/piece/{quote(model)}?{query}'
--- a/src/linnetwood/programs/endpoint.py
+++ b/src/linnetwood/programs/endpoint.py
@@ -18,8 +18,8 @@
 from linnetwood.programs import daemon
 from linnetwood.weights.agent import WeightsAgent
 from linnetwood.weights.chunks import ChunkStore
-from linnetwood.weights.exchange import Fetcher, Tally, Uploads
-from linnetwood.weights.orders import HttpOrders
+from linnetwood.weights.exchange import Fetcher, TransferCounters, Uploads
+from linnetwood.weights.orders import HttpOrderClient
 from linnetwood.weights.origin import HttpWeightStore
 from linnetwood.weights.transfer import Tools
 from linnetwood.wire import codec
@@ -47,14 +47,14 @@
             open_client(_MAX_CLIENTS),
             Keys(cfg.trust),
         )
-        self.tally = Tally()
+        self.counters = TransferCounters()
         self.guard = self._build_guard()
         self.runtime.gossip.load = self.guard.load
         self._link = self._build_link()
         self._uploads = Uploads(
             ChunkStore(),
             self._link,
-            self.tally,
+            self.counters,
             cfg.transfer.upload_queue,
         )
         self.agent: WeightsAgent | None = None
@@ -141,11 +141,11 @@
             link=self._link,
             clock=self.runtime.clock,
             rng=self.runtime.rng,
-            tally=self.tally,
+            counters=self.counters,
             metrics=self.runtime.metrics,
             cfg=cfg.transfer,
         )
-        orders = HttpOrders(cfg.backend.url, self.runtime.client)
+        orders = HttpOrderClient(cfg.backend.url, self.runtime.client)
         return WeightsAgent(tools, self.runtime.gossip, orders, self.guard)
 
     async def _serve_drain(self, stream: FrameStream, frame: Frame) -> None:
--- a/src/linnetwood/programs/resident_endpoint.py
+++ b/src/linnetwood/programs/resident_endpoint.py
@@ -18,9 +18,9 @@
 from linnetwood.programs.figures import FiguresPage
 from linnetwood.programs.resident_talk import EndpointTalk
 from linnetwood.weights.chunks import ChunkStore
-from linnetwood.weights.exchange import Fetcher, Tally, Uploads
+from linnetwood.weights.exchange import Fetcher, TransferCounters, Uploads
 from linnetwood.weights.follower import OriginChunks, VersionFollower
-from linnetwood.weights.inflow import Inflow
+from linnetwood.weights.inboundlink import InboundLink
 from linnetwood.weights.transfer import Tools
 from linnetwood.wire.connections import TcpDialler, WireServer
 from linnetwood.wire.curldriver import CurlDriver
@@ -50,7 +50,7 @@
         self.driver = CurlDriver()
         self._engine = ServerEngine(engine, self.driver)
         self._origin = PlatformOrigin(self.driver)
-        self._inflow = Inflow()
+        self._inbound_link = InboundLink()
         self._metrics = ExposedMetrics()
         self._figures = FiguresPage(self._metrics)
         tools = self._tools()
@@ -68,7 +68,7 @@
             self.follower,
             self.wanted,
             self._origin,
-            self._inflow,
+            self._inbound_link,
         )
         self._server = WireServer(
             {FrameKind.CHUNK_REQUEST: tools.uploads.serve},
@@ -113,22 +113,22 @@
 
     def _tools(self) -> Tools:
         store = ChunkStore()
-        tally = Tally()
+        counters = TransferCounters()
         cfg = Transfer(window=3)
         link = GentleLink(self._cfg.link_bytes_per_s, self._clock)
         return Tools(
             me=self._cfg.host,
             store=store,
             fetcher=Fetcher(self._cfg.host, TcpDialler(), link),
-            uploads=Uploads(store, link, tally, cfg.upload_queue),
+            uploads=Uploads(store, link, counters, cfg.upload_queue),
             origin=OriginChunks(self._origin),
             link=link,
             clock=self._clock,
             rng=Random(),
-            tally=tally,
+            counters=counters,
             metrics=self._metrics,
             cfg=cfg,
-            inflow=self._inflow,
+            inbound_link=self._inbound_link,
         )
 
 
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -27,7 +27,7 @@
 from linnetwood.platform.weights import PlatformOrigin
 from linnetwood.weights.engine import EngineReport
 from linnetwood.weights.follower import VersionFollower
-from linnetwood.weights.inflow import Inflow
+from linnetwood.weights.inboundlink import InboundLink
 from linnetwood.wire.connections import TcpDialler
 
 _MILLISECONDS = 1000
@@ -61,7 +61,7 @@
         follower: VersionFollower,
         wanted: WantedVersions,
         origin: PlatformOrigin,
-        inflow: Inflow,
+        inbound_link: InboundLink,
     ) -> None:
         """Tell nobody yet."""
         self._cfg = cfg
@@ -69,7 +69,7 @@
         self._follower = follower
         self._wanted = wanted
         self._origin = origin
-        self._inflow = inflow
+        self._inbound_link = inbound_link
         self._news = NewsSocket(self)
         self._listeners = ReportSubscribers(clock.now())
         self._latest_notice = LatestNotice()
@@ -184,7 +184,9 @@
             serving=max(report.serving.values(), default=0),
             changing=report.changing or self._follower.draining,
             entries=self._listeners.entry_count(now),
-            way_ms=int(self._inflow.tell_way_s(now) * _MILLISECONDS),
+            way_ms=int(
+                self._inbound_link.update_link_delay_s(now) * _MILLISECONDS
+            ),
             born=report.born,
         )
         said = self._latest_notice.for_report(now, self.every_s)
--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -17,8 +17,8 @@
 from linnetwood.gen.wire.ttypes import HeldNotice, Member, TransferProgress
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
-from linnetwood.weights.keeper import EngineKeeper, Target
-from linnetwood.weights.orders import Orders
+from linnetwood.weights.enginecontroller import EngineController, Target
+from linnetwood.weights.orders import OrderClient
 from linnetwood.weights.reading import (
     DirectReading,
     OriginPolicy,
@@ -42,7 +42,7 @@
         self,
         tools: Tools,
         gossip: GossipTask,
-        orders: Orders,
+        orders: OrderClient,
         guard: Guard,
     ) -> None:
         """Want nothing yet."""
@@ -51,7 +51,7 @@
         self._tools = tools
         self._gossip = gossip
         self._orders = orders
-        self._keeper = EngineKeeper(gossip, orders, guard, tools.clock)
+        self._keeper = EngineController(gossip, orders, guard, tools.clock)
         self._configuration: Configuration | None = None
         self._wake = asyncio.Event()
         self._changed = True
@@ -106,7 +106,7 @@
     def chunks_reported(self, notice: HeldNotice) -> None:
         """Take in what a neighbour holds."""
         if self.download is not None and self.download.name == notice.manifest:
-            self.download.notice(notice)
+            self.download.record_notice(notice)
         elif (
             self.target is not None and self.target.manifest == notice.manifest
         ):
@@ -135,7 +135,7 @@
         if self._keeper.serves(self.target):
             kept = await self._keeper.still_serves(self.target)
             if not kept and self._staging is not None:
-                self._staging.begin_again()
+                self._staging.restart()
             return
         if self.download is None:
             await self._begin(self.target)
@@ -194,13 +194,13 @@
             self._gossip.update_self(wanted='', held=0, total=0)
 
     async def _begin(self, target: Target) -> None:
-        if await self._keeper.believe(target):
+        if await self._keeper.adopt_if_served(target):
             return
         manifest = await self._manifest(target)
         if manifest is None:
             return
         self.download = self._make_download(target, manifest)
-        self.download.kept = self._kept
+        self.download.on_chunk_kept = self._kept
         self._staging = Staging(
             self._orders,
             self._tools.store,
@@ -245,7 +245,7 @@
             )
         else:
             encoded = await self._tools.origin.read(name, chunks.MANIFEST_INDEX)
-            self._tools.tally.origin_bytes += len(encoded)
+            self._tools.counters.origin_bytes += len(encoded)
         return chunks.read_manifest(encoded, name)
 
     def _make_download(
@@ -310,7 +310,7 @@
             download.manifest,
             before,
         )
-        download.neighbours(self._neighbour_members())
+        download.set_neighbours(self._neighbour_members())
 
     def _kept(self, index: int, chunk: bytes) -> None:
         if self._staging is not None:
@@ -322,7 +322,7 @@
             await asyncio.sleep(self._tools.cfg.notice_every_s)
             if self.download is not None:
                 self._notice(self.download)
-            if self._staging is not None and await self._staging.hand_over():
+            if self._staging is not None and await self._staging.stage_queued():
                 self._wake.set()
 
     def _notice(self, download: Download) -> None:
@@ -334,7 +334,7 @@
         notice = HeldNotice(
             sender=self._gossip.own_record.vm,
             manifest=download.name,
-            held=chunks.to_bytes(download.swarm.held, download.swarm.count),
+            held=chunks.pack_bitmap(download.swarm.held, download.swarm.count),
             queued=self._tools.uploads.queued,
         )
         self._gossip.send_held_chunks(self._neighbour_members(), notice)
@@ -345,12 +345,12 @@
         download: Download,
         staging: Staging,
     ) -> None:
-        await staging.hand_over()
+        await staging.stage_queued()
         if not staging.complete:
             return
         if not self._keeper.may_load(target, download.swarm.count):
             return
-        if not self._tools.store.whole(download.manifest):
+        if not self._tools.store.verify(download.manifest):
             raise WeightsError('whole-digest-differs', target.label)
         await self._keeper.leave_service()
         if self._changed:
@@ -361,7 +361,7 @@
         log(
             Event.TRANSFER_COMPLETE,
             version=target.label,
-            **dataclasses.asdict(self._tools.tally),
+            **dataclasses.asdict(self._tools.counters),
         )
 
     async def _load(
@@ -376,7 +376,7 @@
             await self._keeper.order(target, download.manifest, revision)
         except OrderError:
             # The engine may have been started anew and hold nothing.
-            staging.begin_again()
+            staging.restart()
             raise
 
 
--- a/src/linnetwood/weights/chunks.py
+++ b/src/linnetwood/weights/chunks.py
@@ -21,16 +21,18 @@
 
     size: int
     chunk_bytes: int
-    whole: bytes
+    whole_digest: bytes
     digests: tuple[bytes, ...]
 
     def encode(self) -> bytes:
         """Give the bytes whose digest names the manifest."""
-        head = _HEAD.pack(_MAGIC, self.size, self.chunk_bytes, self.whole)
+        head = _HEAD.pack(
+            _MAGIC, self.size, self.chunk_bytes, self.whole_digest
+        )
         return head + b''.join(self.digests)
 
 
-def name_of(encoded: bytes) -> str:
+def digest_name(encoded: bytes) -> str:
     """Name bytes by their SHA-256 digest."""
     return hashlib.sha256(encoded).hexdigest()
 
@@ -38,13 +40,13 @@
 def build(weights: bytes, chunk_bytes: int) -> Manifest:
     """Make the manifest of whole weights."""
     digests = tuple(
-        hashlib.sha256(chunk).digest() for chunk in cut(weights, chunk_bytes)
+        hashlib.sha256(chunk).digest() for chunk in split(weights, chunk_bytes)
     )
     whole = hashlib.sha256(weights).digest()
     return Manifest(len(weights), chunk_bytes, whole, digests)
 
 
-def cut(weights: bytes, chunk_bytes: int) -> Iterator[bytes]:
+def split(weights: bytes, chunk_bytes: int) -> Iterator[bytes]:
     """Yield the chunks of whole weights."""
     for start in range(0, len(weights), chunk_bytes):
         yield weights[start : start + chunk_bytes]
@@ -52,7 +54,7 @@
 
 def read_manifest(encoded: bytes, name: str) -> Manifest:
     """Check a manifest against its name and take it apart."""
-    if name_of(encoded) != name:
+    if digest_name(encoded) != name:
         raise WeightsError('manifest-digest-differs', name)
     return parse_manifest(encoded)
 
@@ -64,7 +66,7 @@
     except struct.error as exc:
         raise WeightsError('manifest-malformed', 'head') from exc
     rest = encoded[_HEAD.size :]
-    digests = tuple(cut(rest, _DIGEST_BYTES))
+    digests = tuple(split(rest, _DIGEST_BYTES))
     if magic != _MAGIC or not _consistent(size, chunk_bytes, len(digests)):
         raise WeightsError('manifest-malformed', 'sizes')
     return Manifest(size, chunk_bytes, whole, digests)
@@ -108,7 +110,7 @@
             if digest in self._chunks
         )
 
-    def whole(self, manifest: Manifest) -> bool:
+    def verify(self, manifest: Manifest) -> bool:
         """Check the digest over all chunks in their order."""
         hasher = hashlib.sha256()
         for digest in manifest.digests:
@@ -116,7 +118,7 @@
             if chunk is None:
                 return False
             hasher.update(chunk)
-        return hasher.digest() == manifest.whole
+        return hasher.digest() == manifest.whole_digest
 
     def drop_all_but(self, kept: list[Manifest]) -> None:
         """Forget chunks that none of the manifests names."""
@@ -128,19 +130,19 @@
         }
 
 
-def full(count: int) -> int:
+def full_bitmap(count: int) -> int:
     """Give the bitmap with every chunk held."""
     return (1 << count) - 1
 
 
-def to_bytes(bitmap: int, count: int) -> bytes:
+def pack_bitmap(bitmap: int, count: int) -> bytes:
     """Pack a bitmap for the wire."""
     return bitmap.to_bytes((count + 7) // 8, 'little')
 
 
-def from_bytes(packed: bytes, count: int) -> int:
+def unpack_bitmap(packed: bytes, count: int) -> int:
     """Unpack a bitmap, ignoring bits past the last chunk."""
-    return int.from_bytes(packed, 'little') & full(count)
+    return int.from_bytes(packed, 'little') & full_bitmap(count)
 
 
 def indices(bitmap: int) -> Iterator[int]:
--- a/src/linnetwood/weights/engine.py
+++ b/src/linnetwood/weights/engine.py
@@ -25,7 +25,7 @@
     born: int = 0
 
 
-class Order(enum.Enum):
+class OrderResult(enum.Enum):
     """What became of an order."""
 
     TAKEN = 'taken'
@@ -49,7 +49,9 @@
     async def stage(self, model: str, index: int, chunk: bytes) -> None:
         """Lay a chunk there."""
 
-    async def take(self, model: str, version: int, orders: int) -> Order:
+    async def activate(
+        self, model: str, version: int, orders: int
+    ) -> OrderResult:
         """Order it to serve what lies there, if it took so many orders."""
 
 
@@ -59,5 +61,5 @@
     async def manifest(self, model: str, version: int) -> Manifest:
         """Read the digests of a version."""
 
-    async def piece(self, model: str, version: int, index: int) -> bytes:
+    async def chunk(self, model: str, version: int, index: int) -> bytes:
         """Read one chunk, unchecked."""
--- a/src/linnetwood/weights/keeper.py
+++ b/src/linnetwood/weights/enginecontroller.py
@@ -13,7 +13,7 @@
 from linnetwood.weights.chunks import Manifest
 from linnetwood.weights.orders import (
     LoadOrder,
-    Orders,
+    OrderClient,
     chunks_digest,
     next_fence,
 )
@@ -30,13 +30,13 @@
     intent: Intent
 
 
-class EngineKeeper:
+class EngineController:
     """Take the engine out of service, order loads, believe confirmations."""
 
     def __init__(
         self,
         gossip: GossipTask,
-        orders: Orders,
+        orders: OrderClient,
         guard: Guard,
         clock: Clock,
     ) -> None:
@@ -52,7 +52,7 @@
         """Tell whether calls are taken for the target."""
         return self._guard.state.serving == target.label
 
-    async def believe(self, target: Target) -> bool:
+    async def adopt_if_served(self, target: Target) -> bool:
         """Go into service if the engine names the target exactly."""
         if not await self._names(target):
             return False
--- a/src/linnetwood/weights/exchange.py
+++ b/src/linnetwood/weights/exchange.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
+class TransferCounters:
     """Count what a transfer cost."""
 
     origin_bytes: int = 0
@@ -31,7 +31,7 @@
         self,
         store: chunks.ChunkStore,
         link: Link,
-        tally: Tally,
+        counters: TransferCounters,
         limit: int,
     ) -> None:
         """Serve from the store over the link."""
@@ -39,7 +39,7 @@
         self.manifests: dict[str, chunks.Manifest] = {}
         self.store = store
         self._link = link
-        self._tally = tally
+        self._counters = counters
         self._limit = limit
         self._turn = asyncio.Lock()
 
@@ -59,7 +59,7 @@
                 await self._send(stream, request, payload)
         finally:
             self.queued -= 1
-        self._tally.bytes_sent += len(payload)
+        self._counters.bytes_sent += len(payload)
 
     def held_bytes(self, name: str) -> bytes:
         """Pack what is held of a manifest."""
@@ -67,7 +67,7 @@
         if manifest is None:
             return b''
         count = len(manifest.digests)
-        return chunks.to_bytes(self.store.held(manifest), count)
+        return chunks.pack_bitmap(self.store.held(manifest), count)
 
     async def _send(
         self,
@@ -145,7 +145,7 @@
                 stream.close()
                 raise
 
-    def heard_at(self) -> dict[str, float]:
+    def last_received_at(self) -> dict[str, float]:
         """Give when the last byte came from each peer, by the clock."""
         return {vm: stream.heard_at for vm, stream in self._streams.items()}
 
--- a/src/linnetwood/weights/fetching.py
+++ b/src/linnetwood/weights/fetching.py
@@ -11,7 +11,7 @@
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.engine import Engine, Origin
-from linnetwood.weights.manifests import Manifests
+from linnetwood.weights.manifests import ManifestFinder
 from linnetwood.weights.reading import Ring, SharedReading, ZoneReading
 from linnetwood.weights.swarm import brought
 from linnetwood.weights.takeover import TakeOver, after_the_rest
@@ -82,7 +82,7 @@
         self.around = Surroundings()
         self._tools = tools
         self._engine = engine
-        self._manifests = Manifests(
+        self._manifests = ManifestFinder(
             tools.me,
             tools.fetcher,
             origin,
@@ -137,10 +137,10 @@
 
     def noticed(self, notice: HeldNotice) -> None:
         """Take in what a peer holds."""
-        self._manifests.noticed(notice.manifest, notice.sender)
+        self._manifests.record_holder(notice.manifest, notice.sender)
         for download in self._downloads.values():
             if download.name == notice.manifest:
-                download.notice(notice)
+                download.record_notice(notice)
 
     def partners(self, manifest: str) -> list[str]:
         """Give the hosts with which a version's chunks are exchanged.
@@ -302,8 +302,8 @@
         download.swarm.reroute(*self._turns(aim, download.swarm.count, cfg))
         near = self._near()
         hosts = self.partners(aim.name)
-        download.neighbours([_member(host, self._port) for host in hosts])
-        download.nearby(near)
+        download.set_neighbours([_member(host, self._port) for host in hosts])
+        download.set_near(near)
 
 
 async def _cancelled(task: asyncio.Task[None]) -> None:
--- a/src/linnetwood/weights/follower.py
+++ b/src/linnetwood/weights/follower.py
@@ -11,7 +11,7 @@
 from linnetwood.fleet.wanted import ENGINE_SWITCH_S, WantedVersions
 from linnetwood.gen.wire.ttypes import HeldNotice
 from linnetwood.weights import chunks, waves
-from linnetwood.weights.engine import Engine, EngineReport, Order, Origin
+from linnetwood.weights.engine import Engine, EngineReport, OrderResult, Origin
 from linnetwood.weights.fetching import Aim, Fetching, Surroundings
 from linnetwood.weights.takeover import TAKEOVERS
 from linnetwood.weights.transfer import Download, Tools
@@ -33,7 +33,7 @@
     async def read(self, manifest: str, index: int) -> bytes:
         """Read one chunk."""
         model, _, version = manifest.rpartition('@')
-        return await self._origin.piece(model, int(version), index)
+        return await self._origin.chunk(model, int(version), index)
 
 
 class VersionFollower:
@@ -297,7 +297,7 @@
         if report.changing or report.born != self._born:
             # What was read back lay at the life before.
             return
-        answer = await self._engine.take(
+        answer = await self._engine.activate(
             aim.model,
             aim.version,
             report.orders_taken,
@@ -308,7 +308,7 @@
             answer=answer.value,
             running=report.running,
         )
-        if answer in {Order.TAKEN, Order.DONE}:
+        if answer in {OrderResult.TAKEN, OrderResult.DONE}:
             self._ordered_at = now
             self._taken = aim
             self._wake.set()
@@ -322,4 +322,4 @@
             if found != digest:
                 log(Event.CHUNK_BAD, manifest=aim.name, index=index)
                 self._staged &= ~(1 << index)
-        return self._staged == chunks.full(len(digests))
+        return self._staged == chunks.full_bitmap(len(digests))
--- a/src/linnetwood/weights/inflow.py
+++ b/src/linnetwood/weights/inboundlink.py
@@ -32,7 +32,7 @@
     return min(lately or [span_s for _, span_s in dated], default=0)
 
 
-class Flight:
+class InFlightChunk:
     """One chunk that was asked for and has not come."""
 
     __slots__ = ('came_before', 'flows_since', 'sampled', 'since')
@@ -48,7 +48,7 @@
         self.sampled = sampled
 
 
-class Inflow:
+class InboundLink:
     """Hold the chunks under way to this VM, and how fast they come.
 
     All downloads of a VM share one, since they share its link.
@@ -58,9 +58,9 @@
         """Know nothing of the link."""
         self._came = 0
         self._way_s = float()
-        self._flights: set[Flight] = set()
-        self._undated: list[tuple[Flight, int]] = []
-        self._left: list[Flight] = []
+        self._flights: set[InFlightChunk] = set()
+        self._undated: list[tuple[InFlightChunk, int]] = []
+        self._left: list[InFlightChunk] = []
         self._given_up: list[float] = []
         # Seconds for a chunk, each with when that was measured.
         self._samples: _Dated = collections.deque(maxlen=_SAMPLES)
@@ -81,12 +81,12 @@
         return min((span_s for _, span_s in self._samples), default=0)
 
     @property
-    def owed_s(self) -> float:
+    def backlog_s(self) -> float:
         """Give the seconds that the link takes for all that may still come."""
         return self.chunk_s * self._under_way
 
     @property
-    def patience_s(self) -> float:
+    def backlog_with_origin_s(self) -> float:
         """Give the seconds that all under way may take, if senders do not tell.
 
         The origin's chunks count here: where they are slow as well, it may be
@@ -94,12 +94,12 @@
         """
         return min(self._paces, default=0) * self._under_way
 
-    def tell_way_s(self, now: float) -> float:
+    def update_link_delay_s(self, now: float) -> float:
         """Give how long bytes of others may wait on the way here, smoothed.
 
         A longer way is told at once. It is called once for each report.
         """
-        self.settle(now)
+        self.update(now)
         if self._samples:
             way_s = self._measured_s(now)
         else:
@@ -110,7 +110,9 @@
         self._way_s += share * (way_s - self._way_s)
         return self._way_s
 
-    def asked(self, now: float, *, sampled: bool = True) -> Flight:
+    def record_request(
+        self, now: float, *, sampled: bool = True
+    ) -> InFlightChunk:
         """Note that a chunk was asked for.
 
         How long it takes tells of this link, unless others share the sender's.
@@ -119,28 +121,28 @@
         if sampled:
             self._awaited_at = now
             self._doubt(now)
-        flight = Flight(now, self._came, sampled=sampled)
+        flight = InFlightChunk(now, self._came, sampled=sampled)
         self._flights.add(flight)
         return flight
 
-    def flows(self, flight: Flight, now: float) -> None:
+    def record_first_byte(self, flight: InFlightChunk, now: float) -> None:
         """Note a chunk's first byte: up to now it waited for its sender."""
         flight.flows_since = now
         flight.came_before = self._came
         self._still_since = now
 
-    def came(self, flight: Flight) -> None:
+    def record_received(self, flight: InFlightChunk) -> None:
         """Note that a chunk has come; it is dated when things are settled."""
         if flight in self._flights:
             self._flights.remove(flight)
             self._came += 1
             self._undated.append((flight, self._came))
 
-    def ended(self, flight: Flight) -> None:
+    def record_failed(self, flight: InFlightChunk) -> None:
         """Note that nothing will come."""
         self._flights.discard(flight)
 
-    def left(self, flight: Flight) -> None:
+    def record_abandoned(self, flight: InFlightChunk) -> None:
         """Note that whom it was asked of is left; it may still come.
 
         As what has come, it is dated when things are settled.
@@ -149,12 +151,12 @@
             self._flights.remove(flight)
             self._left.append(flight)
 
-    def gave_up(self, now: float) -> None:
+    def record_timeout(self, now: float) -> None:
         """Note that a chunk is no longer waited for, but may still come."""
         pace_s = min(self._paces, default=0)
-        self._given_up.append(now + self.patience_s + pace_s)
+        self._given_up.append(now + self.backlog_with_origin_s + pace_s)
 
-    def settle(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Date what has come; forget what was given up and must be through.
 
         How many chunks came while one flowed is the rate of the link, if that
@@ -176,10 +178,10 @@
         self._undated.clear()
         while self._left:
             self._left.pop()
-            self.gave_up(now)
+            self.record_timeout(now)
         self._given_up = [until for until in self._given_up if until > now]
 
-    def room(self, unmeasured: int) -> int:
+    def request_budget(self, unmeasured: int) -> int:
         """Give how many more chunks may be asked for.
 
         So many may be under way at most while the link is not measured.
--- a/src/linnetwood/weights/manifests.py
+++ b/src/linnetwood/weights/manifests.py
@@ -69,7 +69,7 @@
     return min(_TURN_MOST_S, max(0, place + 1 - _FIRST_READERS) * _TURN_S)
 
 
-class Manifests:
+class ManifestFinder:
     """Know who holds which manifest, and find one."""
 
     def __init__(
@@ -90,7 +90,7 @@
         self._heard = asyncio.Event()
         self._failures = 0
 
-    def noticed(self, name: str, host: str) -> None:
+    def record_holder(self, name: str, host: str) -> None:
         """Take in that a peer holds a manifest."""
         holders = self._holders.setdefault(name, [])
         while len(self._holders) > _NAMES_KEPT:
--- a/src/linnetwood/weights/orders.py
+++ b/src/linnetwood/weights/orders.py
@@ -36,7 +36,7 @@
     chunks_digest: str
 
 
-class Orders(Protocol):
+class OrderClient(Protocol):
     """Ask the engine and order it."""
 
     async def status(self) -> EngineStatus:
@@ -59,7 +59,7 @@
     return hashlib.sha256(b''.join(manifest.digests)).hexdigest()
 
 
-class HttpOrders:
+class HttpOrderClient:
     """Order an engine over HTTP."""
 
     def __init__(self, url: str, client: AsyncHTTPClient) -> None:
--- a/src/linnetwood/weights/reading.py
+++ b/src/linnetwood/weights/reading.py
@@ -185,7 +185,7 @@
 
     def __init__(self, count: int) -> None:
         """Know how many chunks there are."""
-        self._turns = chunks.full(count)
+        self._turns = chunks.full_bitmap(count)
 
     def alone_at(self, index: int, since: float) -> float:
         """Allow every chunk at once."""
--- a/src/linnetwood/weights/silence.py
+++ b/src/linnetwood/weights/silentpeers.py
@@ -18,7 +18,7 @@
     held: int
 
 
-class Silence:
+class SilentPeers:
     """Hold of whom nothing is heard since a neighbour fell silent."""
 
     __slots__ = ('_silent', '_since', '_unheard')
@@ -30,21 +30,23 @@
         self._unheard: set[str] = set()
         self._since = float()
 
-    def fell(self, vm: str, everybody: Iterable[str], now: float) -> None:
+    def record_timeout(
+        self, vm: str, everybody: Iterable[str], now: float
+    ) -> None:
         """Note that one fell silent: are the others still there?"""
         if vm not in self._unheard:
             self._since = now
             self._unheard = set(everybody)
         self._silent.add(vm)
 
-    def heard(self, vm: str) -> None:
+    def record_message(self, vm: str) -> None:
         """Note that one is there, or that it is a neighbour no more."""
         self._unheard.discard(vm)
         self._silent.discard(vm)
         if not self._silent:
             self._unheard.clear()
 
-    def lone(
+    def unreachable_chunks(
         self,
         now: float,
         neighbours: Mapping[str, Holder],
--- a/src/linnetwood/weights/staging.py
+++ b/src/linnetwood/weights/staging.py
@@ -5,7 +5,7 @@
 from linnetwood.core.errors import OrderError
 from linnetwood.core.events import Event, log
 from linnetwood.weights import chunks
-from linnetwood.weights.orders import Orders
+from linnetwood.weights.orders import OrderClient
 from linnetwood.weights.transfer import Download
 
 
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        orders: Orders,
+        orders: OrderClient,
         store: chunks.ChunkStore,
         download: Download,
     ) -> None:
@@ -27,7 +27,7 @@
         self._download = download
         self._taken: set[int] = set()
         self._waiting: asyncio.Queue[int] = asyncio.Queue()
-        self.begin_again()
+        self.restart()
 
     @property
     def complete(self) -> bool:
@@ -38,14 +38,14 @@
         """Hand a chunk over with the next batch."""
         self._waiting.put_nowait(index)
 
-    def begin_again(self) -> None:
+    def restart(self) -> None:
         """Hand everything over once more: the engine may hold nothing."""
         self._taken = set()
         self._waiting = asyncio.Queue()
         for index in chunks.indices(self._download.swarm.held):
             self.add(index)
 
-    async def hand_over(self) -> bool:
+    async def stage_queued(self) -> bool:
         """Hand over what waits; tell whether the engine took any."""
         before = len(self._taken)
         while not self._waiting.empty():
--- a/src/linnetwood/weights/swarm.py
+++ b/src/linnetwood/weights/swarm.py
@@ -8,9 +8,9 @@
 from linnetwood.core.backoff import pause_s
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
-from linnetwood.weights.inflow import Flight, Inflow
+from linnetwood.weights.inboundlink import InFlightChunk, InboundLink
 from linnetwood.weights.reading import TAKERS, DueTimes, OriginPolicy
-from linnetwood.weights.silence import Silence
+from linnetwood.weights.silentpeers import SilentPeers
 from linnetwood.weights.takeover import Away
 from linnetwood.weights.versionplan import Brought
 
@@ -56,7 +56,7 @@
 
     __slots__ = ('flight', 'source')
 
-    def __init__(self, source: str, flight: Flight) -> None:
+    def __init__(self, source: str, flight: InFlightChunk) -> None:
         """Keep where from, and what the link is to bring."""
         self.source = source
         self.flight = flight
@@ -79,14 +79,14 @@
         rng: Random,
         now: float,
         far: DueTimes | None = None,
-        inflow: Inflow | None = None,
+        inbound_link: InboundLink | None = None,
     ) -> None:
         """Start with what is held already.
 
         With a policy for far neighbours, a chunk is asked of them only when
         it is this VM's turn among those near it.
         """
-        self._inflow = inflow or Inflow()
+        self._inbound_link = inbound_link or InboundLink()
         self._far = far
         self.count = count
         self.held = held
@@ -108,7 +108,7 @@
         # that may read the same chunks then seldom read the same one.
         self._order = rng.sample(range(count), count)
         self._peers_next = False
-        self._silence = Silence()
+        self._silent_peers = SilentPeers()
         turns_s = count * cfg.chunk_origin_s + TAKERS * cfg.takeover_s
         self._turns_over_at = now + turns_s
         # While another version comes first, only the origin is asked.
@@ -117,7 +117,7 @@
     @property
     def complete(self) -> bool:
         """Tell whether every chunk is held."""
-        return self.held == chunks.full(self.count)
+        return self.held == chunks.full_bitmap(self.count)
 
     @property
     def known(self) -> int:
@@ -146,13 +146,13 @@
 
         What it had sent by then still comes.
         """
-        self._silence.heard(vm)
+        self._silent_peers.record_message(vm)
         peer = self.peers.pop(vm, None)
         if peer is not None:
             self._count(peer.held, -1)
         for index, pending in list(self.pending.items()):
             if pending.source == vm:
-                self._inflow.left(pending.flight)
+                self._inbound_link.record_abandoned(pending.flight)
                 self._settle(index)
 
     def notice(self, vm: str, held: int, queued: int) -> None:
@@ -167,13 +167,13 @@
         self._count(held & ~peer.held, 1)
         peer.held |= held
         peer.queued = queued
-        self._silence.heard(vm)
+        self._silent_peers.record_message(vm)
 
     def flows(self, index: int, source: str, now: float) -> None:
         """Note the first byte of what was asked for."""
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
-            self._inflow.flows(pending.flight, now)
+            self._inbound_link.record_first_byte(pending.flight, now)
 
     def arrived(self, index: int, source: str) -> bool:
         """Note a checked chunk; tell whether it was new.
@@ -183,9 +183,9 @@
         """
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
-            self._inflow.came(pending.flight)
+            self._inbound_link.record_received(pending.flight)
         elif pending is not None:
-            self._inflow.left(pending.flight)
+            self._inbound_link.record_abandoned(pending.flight)
         self._settle(index)
         bit = 1 << index
         fresh = not self.held & bit
@@ -245,11 +245,11 @@
 
         What was asked of it may still come.
         """
-        self._inflow.gave_up(now)
+        self._inbound_link.record_timeout(now)
         peer = self.peers.get(vm)
         if peer is not None:
             peer.shunned_until = max(peer.shunned_until, now + _AVOID_S)
-            self._silence.fell(vm, self.peers, now)
+            self._silent_peers.record_timeout(vm, self.peers, now)
 
     def plan(self, now: float) -> Iterator[Fetch]:
         """Yield the fetches to begin now, and count them as begun.
@@ -259,9 +259,9 @@
         asked of peers and of the origin is not added up. The origin goes first,
         but where it fills the room, peers have every other place.
         """
-        self._inflow.settle(now)
+        self._inbound_link.update(now)
         unmeasured = max(self._cfg.window, self._cfg.origin_window)
-        room = self._inflow.room(unmeasured)
+        room = self._inbound_link.request_budget(unmeasured)
         if self.ahead:
             of_origin = self._plan_origin(now)
             yield from itertools.islice(of_origin, max(0, room))
@@ -290,7 +290,7 @@
         if pending.source == ORIGIN:
             return False
         last = max(pending.since, heard_at.get(pending.source, pending.since))
-        patience_s = _OWED_FACTOR * self._inflow.patience_s
+        patience_s = _OWED_FACTOR * self._inbound_link.backlog_with_origin_s
         return now - last > max(self._cfg.silence_s, patience_s)
 
     def _plan_origin(self, now: float) -> Iterator[Fetch]:
@@ -316,8 +316,10 @@
             due = None if self._rarity[index] else self._origin_due(index, away)
             if due is not None and due <= now:
                 yield index
-        every = chunks.full(self.count)
-        lone = self._silence.lone(now, self.peers, every, self._turns_over_at)
+        every = chunks.full_bitmap(self.count)
+        lone = self._silent_peers.unreachable_chunks(
+            now, self.peers, every, self._turns_over_at
+        )
         for among, since in lone:
             yield from (
                 chunk
@@ -433,7 +435,7 @@
     def _begin(self, fetch: Fetch, now: float) -> Fetch:
         of_peer = fetch.source != ORIGIN
         # All VMs share the origin's link: it tells nothing of this one's.
-        flight = self._inflow.asked(now, sampled=of_peer)
+        flight = self._inbound_link.record_request(now, sampled=of_peer)
         self.pending[fetch.index] = Pending(fetch.source, flight)
         self._peers_next = not of_peer
         if of_peer:
@@ -444,7 +446,7 @@
         pending = self.pending.pop(index, None)
         if pending is None:
             return
-        self._inflow.ended(pending.flight)
+        self._inbound_link.record_failed(pending.flight)
         if pending.source not in self.peers:
             return
         peer = self.peers[pending.source]
--- a/src/linnetwood/weights/transfer.py
+++ b/src/linnetwood/weights/transfer.py
@@ -15,8 +15,8 @@
 from linnetwood.gen.wire.ttypes import HeldNotice, Member
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
-from linnetwood.weights.exchange import Fetcher, Tally, Uploads
-from linnetwood.weights.inflow import Inflow
+from linnetwood.weights.exchange import Fetcher, TransferCounters, Uploads
+from linnetwood.weights.inboundlink import InboundLink
 from linnetwood.weights.reading import DueTimes, OriginPolicy
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
 from linnetwood.wire.connections import Address
@@ -45,10 +45,10 @@
     link: Link
     clock: Clock
     rng: Random
-    tally: Tally
+    counters: TransferCounters
     metrics: Metrics
     cfg: Transfer
-    inflow: Inflow = dataclasses.field(default_factory=Inflow)
+    inbound_link: InboundLink = dataclasses.field(default_factory=InboundLink)
 
 
 class Download:
@@ -74,9 +74,9 @@
             tools.rng,
             tools.clock.now(),
             far,
-            tools.inflow,
+            tools.inbound_link,
         )
-        self.kept: Callable[[int, bytes], None] | None = None
+        self.on_chunk_kept: Callable[[int, bytes], None] | None = None
         self._tools = tools
         self._addresses: dict[str, Address] = {}
         self._wake = asyncio.Event()
@@ -98,11 +98,11 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self.swarm.close()
 
-    def nearby(self, vms: Collection[str]) -> None:
+    def set_near(self, vms: Collection[str]) -> None:
         """Set which neighbours cost little to ask."""
         self.swarm.nearby(vms)
 
-    def neighbours(self, members: list[Member]) -> None:
+    def set_neighbours(self, members: list[Member]) -> None:
         """Set whom to exchange chunks with."""
         wanted = {member.vm: (member.host, member.port) for member in members}
         for vm in set(self._addresses) - set(wanted):
@@ -112,11 +112,11 @@
         self._addresses = wanted
         self._wake.set()
 
-    def notice(self, notice: HeldNotice) -> None:
+    def record_notice(self, notice: HeldNotice) -> None:
         """Take in what a peer says it holds."""
         if notice.sender not in self._addresses:
             return
-        held = chunks.from_bytes(notice.held, self.swarm.count)
+        held = chunks.unpack_bitmap(notice.held, self.swarm.count)
         self.swarm.notice(notice.sender, held, notice.queued)
         self._wake.set()
 
@@ -126,7 +126,7 @@
             await asyncio.sleep(_PLAN_PAUSE_S)
             self._wake.clear()
             now = self._tools.clock.now()
-            heard_at = self._tools.fetcher.heard_at()
+            heard_at = self._tools.fetcher.last_received_at()
             for index in self.swarm.expired(now, heard_at):
                 self._give_up(index, now)
             for fetch in self.swarm.plan(now):
@@ -176,7 +176,7 @@
         chunk = await self._tools.origin.read(self.name, index)
         self.swarm.origin_answered(self._tools.clock.now())
         await self._tools.link.receive(len(chunk))
-        self._tools.tally.origin_bytes += len(chunk)
+        self._tools.counters.origin_bytes += len(chunk)
         self._tools.metrics.count(Metric.ORIGIN_BYTES, len(chunk))
         return chunk
 
@@ -191,9 +191,9 @@
             fetch.index,
             lambda: self._flows(fetch),
         )
-        held = chunks.from_bytes(reply.held, self.swarm.count)
+        held = chunks.unpack_bitmap(reply.held, self.swarm.count)
         self.swarm.notice(fetch.source, held, reply.queued)
-        self._tools.tally.peer_bytes += len(chunk)
+        self._tools.counters.peer_bytes += len(chunk)
         return chunk
 
     def _flows(self, fetch: Fetch) -> None:
@@ -207,14 +207,14 @@
             return
         tools.metrics.count(Metric.CHUNKS_RECEIVED)
         if not self.swarm.arrived(fetch.index, fetch.source):
-            tools.tally.repeated_bytes += len(chunk)
+            tools.counters.repeated_bytes += len(chunk)
             tools.metrics.count(Metric.CHUNKS_REPEATED)
-        if self.kept is not None:
-            self.kept(fetch.index, chunk)
+        if self.on_chunk_kept is not None:
+            self.on_chunk_kept(fetch.index, chunk)
 
     def _reject(self, fetch: Fetch) -> None:
         tools = self._tools
-        tools.tally.bad_chunks += 1
+        tools.counters.bad_chunks += 1
         tools.metrics.count(Metric.CHUNKS_BAD)
         self.swarm.failed(fetch.index, fetch.source)
         log(
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -28,7 +28,7 @@
 from linnetwood.lab import virtual
 from linnetwood.weights import chunks
 from linnetwood.weights.agent import WeightsAgent
-from linnetwood.weights.exchange import Fetcher, Tally, Uploads
+from linnetwood.weights.exchange import Fetcher, TransferCounters, Uploads
 from linnetwood.weights.orders import EngineStatus, LoadOrder
 from linnetwood.weights.transfer import Tools
 from linnetwood.wire.connections import TcpDialler
@@ -44,7 +44,7 @@
     name: chunks.build(weights, CHUNK) for name, weights in WEIGHTS.items()
 }
 NAMES = {
-    name: chunks.name_of(manifest.encode())
+    name: chunks.digest_name(manifest.encode())
     for name, manifest in MANIFESTS.items()
 }
 
@@ -172,19 +172,19 @@
         memory = KeyMemory('vm', self.starts, 600, 10, 0)
         self.guard = Guard(state, NoBackend(), memory)
         store = chunks.ChunkStore()
-        tally = Tally()
+        counters = TransferCounters()
         link = OpenLink()
         self.store = store
         tools = Tools(
             me='vm',
             store=store,
             fetcher=Fetcher('vm', TcpDialler(), link),
-            uploads=Uploads(store, link, tally, 4),
+            uploads=Uploads(store, link, counters, 4),
             origin=self.origin,
             link=link,
             clock=self.clock,
             rng=rng,
-            tally=tally,
+            counters=counters,
             metrics=NoMetrics(),
             cfg=Transfer(),
         )
@@ -412,7 +412,7 @@
     def test_corrupt_chunks_are_never_kept(self) -> None:
         """Every held chunk is right, however many came wrong."""
         slot = self.play(('corrupt', 0), ('corrupt', 0), ('corrupt', 0))
-        self.assertTrue(slot.store.whole(MANIFESTS['v1']))
+        self.assertTrue(slot.store.verify(MANIFESTS['v1']))
 
 
 if __name__ == '__main__':
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -12,7 +12,7 @@
 from linnetwood.fleet.vmlist import HttpVmList
 from linnetwood.lab.fakeengine import token
 from linnetwood.lab.launcher import Ports
-from linnetwood.weights.orders import HttpOrders
+from linnetwood.weights.orders import HttpOrderClient
 from linnetwood.weights.origin import HttpWeightStore
 from linnetwood.wire.http import open_client
 from tests.rig import Rig, running
@@ -204,7 +204,7 @@
         client = open_client(4)
         url = f'http://127.0.0.1:{Ports().take(1)[0]}'
         cases = (
-            (HttpOrders(url, client).status(), OrderError),
+            (HttpOrderClient(url, client).status(), OrderError),
             (HttpWeightStore(url, 1, client).read('aa', 0), WeightsError),
             (HttpVmList(url, client).leaving(), StoreError),
             (HttpKeyValue(url, 1, client).get('k'), StoreError),
--- a/tests/test_engine_client.py
+++ b/tests/test_engine_client.py
@@ -6,7 +6,7 @@
 
 from linnetwood.core.errors import OrderError, WeightsError
 from linnetwood.platform.weights import PlatformOrigin, ServerEngine
-from linnetwood.weights.engine import Order
+from linnetwood.weights.engine import OrderResult
 from linnetwood.wire.curldriver import CurlDriver
 from tests.test_curldriver import HOST, ScriptedServer
 from tests.test_following import answer
@@ -62,16 +62,16 @@
     async def test_orders(self) -> None:
         """Each status of the platform is one outcome."""
         cases = (
-            (202, Order.TAKEN),
-            (200, Order.DONE),
-            (409, Order.CONFLICT),
-            (412, Order.REFUSED),
-            (400, Order.REFUSED),
+            (202, OrderResult.TAKEN),
+            (200, OrderResult.DONE),
+            (409, OrderResult.CONFLICT),
+            (412, OrderResult.REFUSED),
+            (400, OrderResult.REFUSED),
         )
         for status, expected in cases:
             with self.subTest(status=status):
                 self.server.answers = [answer(status)]
-                found = await self.engine.take('m', 3, 4)
+                found = await self.engine.activate('m', 3, 4)
                 self.assertIs(found, expected)
         body = self.server.requests[-1].partition(b'\r\n\r\n')[2]
         self.assertEqual(
@@ -113,7 +113,7 @@
     async def test_origin_unknown(self) -> None:
         """Before an entry told of it there is none."""
         with self.assertRaises(WeightsError) as caught:
-            await PlatformOrigin(self.driver).piece('m', 2, 0)
+            await PlatformOrigin(self.driver).chunk('m', 2, 0)
         self.assertEqual(caught.exception.code, 'origin-unknown')
 
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -12,8 +12,8 @@
 from linnetwood.core.options import Decisions, Transfer
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.weights.chunks import ChunkStore, Manifest
-from linnetwood.weights.engine import EngineReport, Order
-from linnetwood.weights.exchange import Fetcher, Tally, Uploads
+from linnetwood.weights.engine import EngineReport, OrderResult
+from linnetwood.weights.exchange import Fetcher, TransferCounters, Uploads
 from linnetwood.weights.follower import OriginChunks, VersionFollower
 from linnetwood.weights.transfer import Tools
 from linnetwood.wire.connections import TcpDialler
@@ -50,7 +50,7 @@
             raise WeightsError('origin-refused')
         return manifest(version)
 
-    async def piece(self, model: str, version: int, index: int) -> bytes:
+    async def chunk(self, model: str, version: int, index: int) -> bytes:
         if self.away:
             raise WeightsError('origin-refused')
         self.reads.append((version, index))
@@ -103,13 +103,15 @@
             self.rots.discard(index)
             self.place[index] = b'rotten'
 
-    async def take(self, model: str, version: int, orders: int) -> Order:
+    async def activate(
+        self, model: str, version: int, orders: int
+    ) -> OrderResult:
         if orders != self.orders:
-            return Order.CONFLICT
+            return OrderResult.CONFLICT
         self.orders += 1
         self.taken.append(dict(self.place))
         self.serving = version
-        return Order.TAKEN
+        return OrderResult.TAKEN
 
 
 class FollowerRig(unittest.IsolatedAsyncioTestCase):
@@ -122,19 +124,19 @@
         self.engine = FakeEngine()
         self.wanted = WantedVersions(8)
         store = ChunkStore()
-        tally = Tally()
+        counters = TransferCounters()
         cfg = Transfer()
         link = OpenLink()
         tools = Tools(
             me=ME,
             store=store,
             fetcher=Fetcher(ME, TcpDialler(), link),
-            uploads=Uploads(store, link, tally, cfg.upload_queue),
+            uploads=Uploads(store, link, counters, cfg.upload_queue),
             origin=OriginChunks(self.origin),
             link=link,
             clock=SystemClock(),
             rng=Random(1),
-            tally=tally,
+            counters=counters,
             metrics=open_metrics('', 0),
             cfg=cfg,
         )
--- a/tests/test_inflow.py
+++ b/tests/test_inflow.py
@@ -5,7 +5,7 @@
 
 from linnetwood.gen.wire.ttypes import ChunkReply
 from linnetwood.weights.exchange import Fetcher
-from linnetwood.weights.inflow import Inflow
+from linnetwood.weights.inboundlink import InboundLink
 from linnetwood.wire.codec import encode
 from linnetwood.wire.frames import Frame, FrameKind
 from linnetwood.wire.links import OpenLink
@@ -17,17 +17,17 @@
 NARROWED_CHUNK_S = 0.216
 
 
-def measured(chunk_s: float) -> Inflow:
+def measured(chunk_s: float) -> InboundLink:
     """Give what has brought some chunks, one after the other."""
-    inflow = Inflow()
+    inbound_link = InboundLink()
     for number in range(3):
-        flight = inflow.asked(number * chunk_s)
-        inflow.came(flight)
-        inflow.settle((number + 1) * chunk_s)
-    return inflow
+        flight = inbound_link.record_request(number * chunk_s)
+        inbound_link.record_received(flight)
+        inbound_link.update((number + 1) * chunk_s)
+    return inbound_link
 
 
-class InflowTest(unittest.TestCase):
+class InboundLinkTest(unittest.TestCase):
     """Bound what is under way by the time that it takes."""
 
     def test_room(self) -> None:
@@ -39,65 +39,67 @@
             (0.5, 1),
         ):
             with self.subTest(chunk_s=chunk_s):
-                self.assertEqual(measured(chunk_s).room(UNMEASURED), room)
-        self.assertEqual(Inflow().room(UNMEASURED), UNMEASURED)
+                self.assertEqual(
+                    measured(chunk_s).request_budget(UNMEASURED), room
+                )
+        self.assertEqual(InboundLink().request_budget(UNMEASURED), UNMEASURED)
 
     def test_chunks_that_share_the_link(self) -> None:
         """Three that come at once in 0.6 s took 0.2 s each."""
-        inflow = Inflow()
-        flights = [inflow.asked(0) for _ in range(3)]
+        inbound_link = InboundLink()
+        flights = [inbound_link.record_request(0) for _ in range(3)]
         for flight in flights:
-            inflow.came(flight)
-        inflow.settle(0.6)
-        self.assertAlmostEqual(inflow.chunk_s, 0.2)
+            inbound_link.record_received(flight)
+        inbound_link.update(0.6)
+        self.assertAlmostEqual(inbound_link.chunk_s, 0.2)
 
     def test_a_slow_sender_tells_nothing_of_the_link(self) -> None:
         """The fastest of the last chunks counts."""
-        inflow = measured(STATED_CHUNK_S)
-        flight = inflow.asked(1)
-        inflow.came(flight)
-        inflow.settle(2)
-        self.assertAlmostEqual(inflow.chunk_s, STATED_CHUNK_S)
+        inbound_link = measured(STATED_CHUNK_S)
+        flight = inbound_link.record_request(1)
+        inbound_link.record_received(flight)
+        inbound_link.update(2)
+        self.assertAlmostEqual(inbound_link.chunk_s, STATED_CHUNK_S)
 
     def test_what_flows_at_a_time_counts(self) -> None:
         """Senders that begin late make no slow link."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for number in range(4):
-            flights = [inflow.asked(number) for _ in range(2)]
+            flights = [inbound_link.record_request(number) for _ in range(2)]
             for flight in flights:
-                inflow.flows(flight, number + 0.9)
+                inbound_link.record_first_byte(flight, number + 0.9)
             for flight in flights:
-                inflow.came(flight)
-            inflow.settle(number + 0.9 + 2 * STATED_CHUNK_S)
-        self.assertAlmostEqual(inflow.chunk_s, STATED_CHUNK_S)
+                inbound_link.record_received(flight)
+            inbound_link.update(number + 0.9 + 2 * STATED_CHUNK_S)
+        self.assertAlmostEqual(inbound_link.chunk_s, STATED_CHUNK_S)
 
     def test_the_origin_tells_nothing_of_the_link(self) -> None:
         """What others share is not this link; it is under way all the same."""
-        inflow = measured(NARROWED_CHUNK_S)
+        inbound_link = measured(NARROWED_CHUNK_S)
         for number in range(3):
-            flight = inflow.asked(number, sampled=False)
-            inflow.came(flight)
-            inflow.settle(number + STATED_CHUNK_S)
-        self.assertAlmostEqual(inflow.chunk_s, NARROWED_CHUNK_S)
-        inflow.asked(4, sampled=False)
-        self.assertEqual(inflow.room(UNMEASURED), 1)
+            flight = inbound_link.record_request(number, sampled=False)
+            inbound_link.record_received(flight)
+            inbound_link.update(number + STATED_CHUNK_S)
+        self.assertAlmostEqual(inbound_link.chunk_s, NARROWED_CHUNK_S)
+        inbound_link.record_request(4, sampled=False)
+        self.assertEqual(inbound_link.request_budget(UNMEASURED), 1)
 
     def test_what_was_given_up_may_still_come(self) -> None:
         """It takes room until the link must have brought it."""
-        inflow = measured(NARROWED_CHUNK_S)
-        flights = [inflow.asked(10) for _ in range(2)]
-        inflow.ended(flights[0])
-        inflow.gave_up(11)
-        self.assertEqual(inflow.room(UNMEASURED), 0)
-        self.assertAlmostEqual(inflow.owed_s, 2 * NARROWED_CHUNK_S)
-        inflow.settle(11 + 3 * NARROWED_CHUNK_S)
-        self.assertEqual(inflow.room(UNMEASURED), 1)
+        inbound_link = measured(NARROWED_CHUNK_S)
+        flights = [inbound_link.record_request(10) for _ in range(2)]
+        inbound_link.record_failed(flights[0])
+        inbound_link.record_timeout(11)
+        self.assertEqual(inbound_link.request_budget(UNMEASURED), 0)
+        self.assertAlmostEqual(inbound_link.backlog_s, 2 * NARROWED_CHUNK_S)
+        inbound_link.update(11 + 3 * NARROWED_CHUNK_S)
+        self.assertEqual(inbound_link.request_budget(UNMEASURED), 1)
 
     def test_what_fails_takes_no_room(self) -> None:
         """Nothing will come."""
-        inflow = measured(NARROWED_CHUNK_S)
-        inflow.ended(inflow.asked(10))
-        self.assertEqual(inflow.room(UNMEASURED), 2)
+        inbound_link = measured(NARROWED_CHUNK_S)
+        inbound_link.record_failed(inbound_link.record_request(10))
+        self.assertEqual(inbound_link.request_budget(UNMEASURED), 2)
 
 
 class WayTest(unittest.TestCase):
@@ -105,33 +107,39 @@
 
     def test_a_longer_way_is_told_at_once(self) -> None:
         """What lies on the link, at its rate."""
-        inflow = Inflow()
-        flights = [inflow.asked(0) for _ in range(2)]
+        inbound_link = InboundLink()
+        flights = [inbound_link.record_request(0) for _ in range(2)]
         for flight in flights:
-            inflow.came(flight)
-        self.assertAlmostEqual(inflow.tell_way_s(2 * NARROWED_CHUNK_S), 0)
+            inbound_link.record_received(flight)
+        self.assertAlmostEqual(
+            inbound_link.update_link_delay_s(2 * NARROWED_CHUNK_S), 0
+        )
         for _ in range(2):
-            inflow.asked(1)
-        self.assertAlmostEqual(inflow.tell_way_s(1.1), 2 * NARROWED_CHUNK_S)
+            inbound_link.record_request(1)
+        self.assertAlmostEqual(
+            inbound_link.update_link_delay_s(1.1), 2 * NARROWED_CHUNK_S
+        )
 
     def test_before_any_came(self) -> None:
         """Peers' chunks tell by their age, and the origin's do not."""
-        inflow = Inflow()
-        inflow.asked(0, sampled=False)
-        self.assertAlmostEqual(inflow.tell_way_s(1), 0)
-        flight = inflow.asked(1)
-        self.assertAlmostEqual(inflow.tell_way_s(1.5), 0.5)
-        inflow.flows(flight, 1.5)
-        inflow.came(flight)
-        inflow.settle(1.5 + STATED_CHUNK_S)
-        self.assertLess(inflow.tell_way_s(1.6), 0.5)
+        inbound_link = InboundLink()
+        inbound_link.record_request(0, sampled=False)
+        self.assertAlmostEqual(inbound_link.update_link_delay_s(1), 0)
+        flight = inbound_link.record_request(1)
+        self.assertAlmostEqual(inbound_link.update_link_delay_s(1.5), 0.5)
+        inbound_link.record_first_byte(flight, 1.5)
+        inbound_link.record_received(flight)
+        inbound_link.update(1.5 + STATED_CHUNK_S)
+        self.assertLess(inbound_link.update_link_delay_s(1.6), 0.5)
 
     def test_a_chunk_that_came_quickly_shows_a_short_way(self) -> None:
         """Others are late because of their senders."""
-        inflow = measured(NARROWED_CHUNK_S)
+        inbound_link = measured(NARROWED_CHUNK_S)
         for _ in range(4):
-            inflow.asked(1)
-        self.assertAlmostEqual(inflow.tell_way_s(1.1), NARROWED_CHUNK_S)
+            inbound_link.record_request(1)
+        self.assertAlmostEqual(
+            inbound_link.update_link_delay_s(1.1), NARROWED_CHUNK_S
+        )
 
     def test_a_link_that_narrows_while_chunks_are_under_way(self) -> None:
         """It is told as slow for as long as nothing comes of what was asked.
@@ -144,19 +152,22 @@
         narrowed VMs that were heard by reports under 0.2 s old, connections
         came up within 30 ms, and calls were silent for 1.6 s and more.
         """
-        inflow = measured(STATED_CHUNK_S)
-        flights = [inflow.asked(1) for _ in range(2)]
-        inflow.flows(flights[0], 1.1)
-        self.assertLess(inflow.tell_way_s(1.2), 0.3)
-        self.assertGreater(inflow.tell_way_s(2.1), 0.9)
+        inbound_link = measured(STATED_CHUNK_S)
+        flights = [inbound_link.record_request(1) for _ in range(2)]
+        inbound_link.record_first_byte(flights[0], 1.1)
+        self.assertLess(inbound_link.update_link_delay_s(1.2), 0.3)
+        self.assertGreater(inbound_link.update_link_delay_s(2.1), 0.9)
         # Who is asked instead brings nothing, either.
-        inflow.left(flights[0])
-        flights.append(inflow.asked(2.2))
-        self.assertGreater(inflow.tell_way_s(2.6), 1.4)
-        inflow.flows(flights[1], 2.7)
-        inflow.came(flights[1])
-        inflow.settle(2.8)
-        told = [inflow.tell_way_s(2.8 + step / 100) for step in range(1, 11)]
+        inbound_link.record_abandoned(flights[0])
+        flights.append(inbound_link.record_request(2.2))
+        self.assertGreater(inbound_link.update_link_delay_s(2.6), 1.4)
+        inbound_link.record_first_byte(flights[1], 2.7)
+        inbound_link.record_received(flights[1])
+        inbound_link.update(2.8)
+        told = [
+            inbound_link.update_link_delay_s(2.8 + step / 100)
+            for step in range(1, 11)
+        ]
         self.assertLess(told[-1], 0.3)
 
     def test_a_link_that_narrows_while_the_origin_is_left_to_ask(self) -> None:
@@ -169,35 +180,44 @@
         given up, and the way reckoned by what had come before. What proved it:
         lines of what is told; 0.1 s for 1.5 s, with two chunks under way.
         """
-        inflow = measured(STATED_CHUNK_S)
-        peers = [inflow.asked(1) for _ in range(2)]
-        origin = inflow.asked(1, sampled=False)
+        inbound_link = measured(STATED_CHUNK_S)
+        peers = [inbound_link.record_request(1) for _ in range(2)]
+        origin = inbound_link.record_request(1, sampled=False)
         for step in range(8):
-            inflow.tell_way_s(1 + step / 10)
+            inbound_link.update_link_delay_s(1 + step / 10)
         for flight in peers:
-            inflow.ended(flight)
-            inflow.gave_up(1.8)
-        told = [inflow.tell_way_s(1.8 + step / 10) for step in range(16)]
+            inbound_link.record_failed(flight)
+            inbound_link.record_timeout(1.8)
+        told = [
+            inbound_link.update_link_delay_s(1.8 + step / 10)
+            for step in range(16)
+        ]
         self.assertEqual(told, sorted(told))
         self.assertGreater(told[-1], 2)
         # The origin gives no answer, either, and is asked anew after a pause.
-        inflow.ended(origin)
-        self.assertGreater(inflow.tell_way_s(3.5), 2)
-        flight = inflow.asked(3.7, sampled=False)
-        self.assertGreater(inflow.tell_way_s(4.5), 3)
+        inbound_link.record_failed(origin)
+        self.assertGreater(inbound_link.update_link_delay_s(3.5), 2)
+        flight = inbound_link.record_request(3.7, sampled=False)
+        self.assertGreater(inbound_link.update_link_delay_s(4.5), 3)
         # Its first chunk comes, and not fast: that is no sign of a free way.
-        inflow.flows(flight, 4.6)
-        inflow.came(flight)
-        inflow.asked(4.6, sampled=False)
-        inflow.settle(5)
-        told = [inflow.tell_way_s(5 + step / 10) for step in range(10)]
+        inbound_link.record_first_byte(flight, 4.6)
+        inbound_link.record_received(flight)
+        inbound_link.record_request(4.6, sampled=False)
+        inbound_link.update(5)
+        told = [
+            inbound_link.update_link_delay_s(5 + step / 10)
+            for step in range(10)
+        ]
         self.assertGreater(min(told), 0.35)
         # One that comes quickly is.
-        flight = inflow.asked(6)
-        inflow.flows(flight, 6)
-        inflow.came(flight)
-        inflow.settle(6 + STATED_CHUNK_S)
-        told = [inflow.tell_way_s(6.1 + step / 10) for step in range(10)]
+        flight = inbound_link.record_request(6)
+        inbound_link.record_first_byte(flight, 6)
+        inbound_link.record_received(flight)
+        inbound_link.update(6 + STATED_CHUNK_S)
+        told = [
+            inbound_link.update_link_delay_s(6.1 + step / 10)
+            for step in range(10)
+        ]
         self.assertLess(told[-1], 0.3)
 
     def test_a_link_that_brings_nothing_is_as_slow_as_any(self) -> None:
@@ -207,13 +227,13 @@
         sent that arrived after 3.4 s, behind the bound of their version. Cause:
         how long nothing came says how long it has waited so far, and no more.
         """
-        inflow = measured(STATED_CHUNK_S)
-        flights = [inflow.asked(1) for _ in range(3)]
-        self.assertLess(inflow.tell_way_s(1.7), 0.8)
-        self.assertGreaterEqual(inflow.tell_way_s(1.9), 2)
-        inflow.left(flights[0])
-        inflow.asked(1.9)
-        self.assertGreaterEqual(inflow.tell_way_s(2.2), 2)
+        inbound_link = measured(STATED_CHUNK_S)
+        flights = [inbound_link.record_request(1) for _ in range(3)]
+        self.assertLess(inbound_link.update_link_delay_s(1.7), 0.8)
+        self.assertGreaterEqual(inbound_link.update_link_delay_s(1.9), 2)
+        inbound_link.record_abandoned(flights[0])
+        inbound_link.record_request(1.9)
+        self.assertGreaterEqual(inbound_link.update_link_delay_s(2.2), 2)
 
     def test_a_link_that_is_narrow_before_any_came(self) -> None:
         """Peers that brought nothing are given up here, too.
@@ -226,22 +246,28 @@
         counted from then on. What proved it: 0.8 s are told while peers are
         waited for, and 0 within 1.5 s after, with the origin under way.
         """
-        inflow = Inflow()
-        peers = [inflow.asked(1) for _ in range(2)]
-        inflow.asked(1, sampled=False)
+        inbound_link = InboundLink()
+        peers = [inbound_link.record_request(1) for _ in range(2)]
+        inbound_link.record_request(1, sampled=False)
         for step in range(9):
-            inflow.tell_way_s(1 + step / 10)
+            inbound_link.update_link_delay_s(1 + step / 10)
         for flight in peers:
-            inflow.ended(flight)
-            inflow.gave_up(1.8)
-        told = [inflow.tell_way_s(1.8 + step / 10) for step in range(16)]
+            inbound_link.record_failed(flight)
+            inbound_link.record_timeout(1.8)
+        told = [
+            inbound_link.update_link_delay_s(1.8 + step / 10)
+            for step in range(16)
+        ]
         self.assertEqual(told, sorted(told))
         self.assertGreater(told[-1], 2)
-        flight = inflow.asked(4)
-        inflow.flows(flight, 4)
-        inflow.came(flight)
-        inflow.settle(4 + STATED_CHUNK_S)
-        told = [inflow.tell_way_s(4.1 + step / 10) for step in range(10)]
+        flight = inbound_link.record_request(4)
+        inbound_link.record_first_byte(flight, 4)
+        inbound_link.record_received(flight)
+        inbound_link.update(4 + STATED_CHUNK_S)
+        told = [
+            inbound_link.update_link_delay_s(4.1 + step / 10)
+            for step in range(10)
+        ]
         self.assertLess(told[-1], 0.3)
 
     def test_a_peer_that_says_no_at_once_makes_no_slow_way(self) -> None:
@@ -256,40 +282,48 @@
         """
         for origin in (False, True):
             with self.subTest(origin=origin):
-                inflow = measured(STATED_CHUNK_S)
+                inbound_link = measured(STATED_CHUNK_S)
                 if origin:
-                    inflow.asked(1, sampled=False)
-                inflow.ended(inflow.asked(1))
+                    inbound_link.record_request(1, sampled=False)
+                inbound_link.record_failed(inbound_link.record_request(1))
                 times = [1.01 + step / 10 for step in range(30)]
-                told = [inflow.tell_way_s(at) for at in times]
+                told = [inbound_link.update_link_delay_s(at) for at in times]
                 self.assertLess(max(told), 0.3)
 
     def test_an_origin_that_is_away_makes_no_slow_way(self) -> None:
         """As long as no peer was asked in vain."""
-        inflow = measured(STATED_CHUNK_S)
-        inflow.asked(1, sampled=False)
-        told = [inflow.tell_way_s(1 + step / 10) for step in range(40)]
+        inbound_link = measured(STATED_CHUNK_S)
+        inbound_link.record_request(1, sampled=False)
+        told = [
+            inbound_link.update_link_delay_s(1 + step / 10)
+            for step in range(40)
+        ]
         self.assertLess(max(told), 0.3)
 
     def test_who_sends_slowly_makes_no_slow_way(self) -> None:
         """While others' chunks come, or the origin's, the way is free."""
-        inflow = measured(STATED_CHUNK_S)
-        inflow.asked(1)
+        inbound_link = measured(STATED_CHUNK_S)
+        inbound_link.record_request(1)
         for step in range(20):
             at = 1 + step / 10
-            other = inflow.asked(at, sampled=bool(step % 2))
-            inflow.flows(other, at)
-            inflow.came(other)
-            inflow.settle(at + STATED_CHUNK_S)
-            self.assertLess(inflow.tell_way_s(at + STATED_CHUNK_S), 0.3)
+            other = inbound_link.record_request(at, sampled=bool(step % 2))
+            inbound_link.record_first_byte(other, at)
+            inbound_link.record_received(other)
+            inbound_link.update(at + STATED_CHUNK_S)
+            self.assertLess(
+                inbound_link.update_link_delay_s(at + STATED_CHUNK_S), 0.3
+            )
 
     def test_a_shorter_way_is_believed_little_by_little(self) -> None:
         """One moment between two chunks tells nothing."""
-        inflow = measured(NARROWED_CHUNK_S)
-        flight = inflow.asked(1)
-        inflow.tell_way_s(1)
-        inflow.ended(flight)
-        told = [inflow.tell_way_s(1 + step / 10) for step in range(1, 11)]
+        inbound_link = measured(NARROWED_CHUNK_S)
+        flight = inbound_link.record_request(1)
+        inbound_link.update_link_delay_s(1)
+        inbound_link.record_failed(flight)
+        told = [
+            inbound_link.update_link_delay_s(1 + step / 10)
+            for step in range(1, 11)
+        ]
         self.assertGreater(told[0], NARROWED_CHUNK_S / 2)
         self.assertEqual(told, sorted(told, reverse=True))
         self.assertLess(told[-1], 0.01)
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -11,7 +11,7 @@
 from linnetwood.gen.wire.ttypes import ChunkReply
 from linnetwood.lab import virtual
 from linnetwood.weights.chunks import Manifest
-from linnetwood.weights.manifests import Manifests
+from linnetwood.weights.manifests import ManifestFinder
 from tests.test_follower import manifest
 
 ZONES = 5
@@ -37,7 +37,7 @@
             raise WeightsError('no-answer')
         return manifest(version)
 
-    async def piece(self, model: str, version: int, index: int) -> bytes:
+    async def chunk(self, model: str, version: int, index: int) -> bytes:
         raise WeightsError('no-answer')
 
 
@@ -50,7 +50,7 @@
         self.held: set[str] = set()
         self.at: dict[str, float] = {}
         self.finding = {
-            host: Manifests(host, self, self.origin, 7700, Random(host))
+            host: ManifestFinder(host, self, self.origin, 7700, Random(host))
             for host in self.zones
         }
 
@@ -86,7 +86,7 @@
         self.at[host] = loop.time()
         await asyncio.sleep(WORD_S)
         for one in near:
-            self.finding[one].noticed(NAME, host)
+            self.finding[one].record_holder(NAME, host)
 
     async def all_find(self, away_s: float = 0) -> None:
         """Let all begin at once."""
--- a/tests/test_silent_peers.py
+++ b/tests/test_silent_peers.py
@@ -7,8 +7,8 @@
 from linnetwood.gen.schema.ttypes import Intent
 from linnetwood.gen.wire.ttypes import ChunkReply
 from linnetwood.weights import chunks
+from linnetwood.weights.enginecontroller import Target
 from linnetwood.weights.fetching import Aim, Fetching
-from linnetwood.weights.keeper import Target
 from linnetwood.wire import frames
 from linnetwood.wire.codec import encode
 from linnetwood.wire.frames import FrameKind
@@ -22,7 +22,7 @@
 SLOW = '127.0.0.4'
 AIM = Aim('m', 2)
 WANTED = manifest(AIM.version)
-NAME = chunks.name_of(WANTED.encode())
+NAME = chunks.digest_name(WANTED.encode())
 SLOW_S = 3
 # Ends what hangs; silence is noticed long before.
 GUARD_S = 12
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -8,7 +8,7 @@
 from linnetwood.fleet.wanted import START_MARGIN_S
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
-from linnetwood.weights.inflow import Inflow
+from linnetwood.weights.inboundlink import InboundLink
 from linnetwood.weights.reading import DirectReading, Ring, SharedReading, Turns
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
 from linnetwood.weights.takeover import Away
@@ -248,7 +248,7 @@
         """Once nothing is heard of all that hold it; others are waited for."""
         found = Swarm(
             COUNT,
-            chunks.full(COUNT) & ~0b11,
+            chunks.full_bitmap(COUNT) & ~0b11,
             SwarmOptions(),
             DirectReading(COUNT),
             Random(1),
@@ -340,7 +340,7 @@
         self.found = Swarm(self.count, 0, cfg, policy, Random(1), 0)
         for vm in 'abcdefghi':
             self.found.meet(vm)
-            held = chunks.full(self.count) & ~self.read_here
+            held = chunks.full_bitmap(self.count) & ~self.read_here
             self.found.notice(vm, held, 0)
         self.most = 0
         self.given_up = 0
@@ -419,7 +419,7 @@
 
     def turns(self) -> int:
         """Give every chunk."""
-        return chunks.full(COUNT)
+        return chunks.full_bitmap(COUNT)
 
 
 class SlowSenders:
@@ -465,7 +465,9 @@
     def test_slow_origin_leaves_peers_their_turn(self) -> None:
         """Where only the origin is slow, peers are asked beside it."""
         cfg = SwarmOptions(window=3)
-        found = Swarm(COUNT, 0, cfg, EveryChunk(), Random(1), 0, None, Inflow())
+        found = Swarm(
+            COUNT, 0, cfg, EveryChunk(), Random(1), 0, None, InboundLink()
+        )
         found.meet('a')
         found.meet('b')
         now = 0.0
@@ -475,7 +477,7 @@
             now += 1
             for one in asked:
                 found.arrived(one.index, one.source)
-        left = ~found.held & chunks.full(COUNT)
+        left = ~found.held & chunks.full_bitmap(COUNT)
         # Now two peers near hold one chunk of those that are left.
         offered = left & -left
         found.notice('a', offered, 0)
@@ -494,7 +496,7 @@
             found = Swarm(count, 0, cfg, policy, Random(1), 0)
             for vm in 'abcdefghi':
                 found.meet(vm)
-                found.notice(vm, chunks.full(count) & ~read_here, 0)
+                found.notice(vm, chunks.full_bitmap(count) & ~read_here, 0)
             took_s = SlowSenders(peer_s, origin_s).fetch(found)
             each_s = max(
                 (peer_s + 2 * STATED_CHUNK_S) * count * 0.8 / 3,
@@ -519,13 +521,20 @@
 
     def test_one_place_goes_to_peers_in_turn(self) -> None:
         """Where one chunk is under way at a time, the origin has not all."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for number in range(3):
-            flight = inflow.asked(number)
-            inflow.came(flight)
-            inflow.settle(number + 0.5)
+            flight = inbound_link.record_request(number)
+            inbound_link.record_received(flight)
+            inbound_link.update(number + 0.5)
         found = Swarm(
-            COUNT, 0, SwarmOptions(), Reads(0b1111), Random(1), 0, None, inflow
+            COUNT,
+            0,
+            SwarmOptions(),
+            Reads(0b1111),
+            Random(1),
+            0,
+            None,
+            inbound_link,
         )
         found.meet('a')
         found.notice('a', 0b11110000, 0)
@@ -538,7 +547,7 @@
 
     def test_a_late_chunk_of_one_that_left_is_no_sample(self) -> None:
         """What one peer brought is not counted as another's."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         found = Swarm(
             COUNT,
             0,
@@ -547,7 +556,7 @@
             Random(1),
             0,
             None,
-            inflow,
+            inbound_link,
         )
         found.meet('a')
         found.meet('b')
@@ -558,20 +567,20 @@
         found.notice('b', 1, 0)
         self.assertEqual(len(list(found.plan(0.4))), 1)
         found.arrived(0, 'a')
-        inflow.settle(0.405)
+        inbound_link.update(0.405)
         # It took 0.4 s; that nothing was measured is right as well.
-        if inflow.chunk_s:
-            self.assertGreater(inflow.chunk_s, 0.1)
+        if inbound_link.chunk_s:
+            self.assertGreater(inbound_link.chunk_s, 0.1)
 
     def test_what_came_late_leaves_the_other_under_way(self) -> None:
         """The chunk that another was asked for still takes room."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for number in range(3):
-            flight = inflow.asked(number)
-            inflow.came(flight)
-            inflow.settle(number + 0.5)
+            flight = inbound_link.record_request(number)
+            inbound_link.record_received(flight)
+            inbound_link.update(number + 0.5)
         found = Swarm(
-            COUNT, 0, SwarmOptions(), Nobody(), Random(1), 0, None, inflow
+            COUNT, 0, SwarmOptions(), Nobody(), Random(1), 0, None, inbound_link
         )
         for vm in ('a', 'b'):
             found.meet(vm)
@@ -588,39 +597,39 @@
 
     def test_first_chunks_that_do_not_come_show_a_slow_way(self) -> None:
         """Chunks under way for long tell of the way before any has come."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for _ in range(3):
-            inflow.asked(0)
-        self.assertGreater(inflow.tell_way_s(1.5), 0.5)
+            inbound_link.record_request(0)
+        self.assertGreater(inbound_link.update_link_delay_s(1.5), 0.5)
 
     def test_a_slow_origin_makes_no_slow_way(self) -> None:
         """One chunk in a second from the origin does not fill a link."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for number in range(4):
-            flight = inflow.asked(number, sampled=False)
-            way_s = inflow.tell_way_s(number + 0.5)
-            inflow.came(flight)
-            inflow.settle(number + 1)
+            flight = inbound_link.record_request(number, sampled=False)
+            way_s = inbound_link.update_link_delay_s(number + 0.5)
+            inbound_link.record_received(flight)
+            inbound_link.update(number + 1)
             self.assertLess(way_s, 0.3)
 
     def test_a_slow_peer_makes_no_slow_way(self) -> None:
         """Neither does one from a peer that takes its time to begin."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for number in range(4):
-            flight = inflow.asked(number)
-            way_s = inflow.tell_way_s(number + 0.2)
-            inflow.flows(flight, number + 0.9)
-            inflow.came(flight)
-            inflow.settle(number + 0.95)
+            flight = inbound_link.record_request(number)
+            way_s = inbound_link.update_link_delay_s(number + 0.2)
+            inbound_link.record_first_byte(flight, number + 0.9)
+            inbound_link.record_received(flight)
+            inbound_link.update(number + 0.95)
             self.assertLess(way_s, 0.3)
 
     def test_what_a_parted_peer_sends_takes_room(self) -> None:
         """Bytes under way from one that was dropped are still under way."""
-        inflow = Inflow()
+        inbound_link = InboundLink()
         for number in range(3):
-            flight = inflow.asked(number * 0.5)
-            inflow.came(flight)
-            inflow.settle((number + 1) * 0.5)
+            flight = inbound_link.record_request(number * 0.5)
+            inbound_link.record_received(flight)
+            inbound_link.update((number + 1) * 0.5)
         found = Swarm(
             COUNT,
             0,
@@ -629,7 +638,7 @@
             Random(1),
             0,
             None,
-            inflow,
+            inbound_link,
         )
         for vm in ('a', 'b'):
             found.meet(vm)
@@ -654,27 +663,27 @@
         """A manifest reads back under its own name only."""
         manifest = chunks.build(b'abcdef', 4)
         encoded = manifest.encode()
-        name = chunks.name_of(encoded)
+        name = chunks.digest_name(encoded)
         self.assertEqual(chunks.read_manifest(encoded, name), manifest)
         with self.assertRaisesRegex(Exception, 'manifest-digest-differs'):
-            chunks.read_manifest(encoded, chunks.name_of(b''))
+            chunks.read_manifest(encoded, chunks.digest_name(b''))
 
     def test_whole(self) -> None:
         """Whole means every chunk, in order."""
         weights = bytes(range(200))
         manifest = chunks.build(weights, 64)
         store = chunks.ChunkStore()
-        for index, chunk in enumerate(chunks.cut(weights, 64)):
-            self.assertFalse(store.whole(manifest))
+        for index, chunk in enumerate(chunks.split(weights, 64)):
+            self.assertFalse(store.verify(manifest))
             store.keep(manifest, index, chunk)
-        self.assertTrue(store.whole(manifest))
+        self.assertTrue(store.verify(manifest))
 
     def test_shared_chunks_are_held_already(self) -> None:
         """A version that changes one chunk lacks only that one."""
         old = bytes(range(100))
         new = old[:90] + bytes(10)
         store = chunks.ChunkStore()
-        for index, chunk in enumerate(chunks.cut(old, 10)):
+        for index, chunk in enumerate(chunks.split(old, 10)):
             store.keep(chunks.build(old, 10), index, chunk)
         self.assertEqual(store.held(chunks.build(new, 10)), (1 << 9) - 1)
 
