--- a/src/linnetwood/weights/chunks.py
+++ b/src/linnetwood/weights/chunks.py
@@ -1,4 +1,4 @@
-"""Weights as checked chunks under a digested manifest."""
+"""Weights as chunks that are verified by a manifest of digests."""
 
 import dataclasses
 import hashlib
@@ -11,13 +11,13 @@
 _MAGIC = b'LWM1'
 _DIGEST_BYTES = 32
 MANIFEST_INDEX = -1
-# A bitmap of this many chunks still fits a datagram.
+# A bitmap of this many chunks still fits into a datagram.
 MAX_CHUNKS = 8192
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Manifest:
-    """The digests that make up one version's weights."""
+    """The sizes and SHA-256 digests of one version's weights."""
 
     size: int
     chunk_bytes: int
@@ -38,7 +38,7 @@
 
 
 def build(weights: bytes, chunk_bytes: int) -> Manifest:
-    """Make the manifest of whole weights."""
+    """Build the manifest of complete weights."""
     digests = tuple(
         hashlib.sha256(chunk).digest() for chunk in split(weights, chunk_bytes)
     )
@@ -47,39 +47,39 @@
 
 
 def split(weights: bytes, chunk_bytes: int) -> Iterator[bytes]:
-    """Yield the chunks of whole weights."""
+    """Yield the chunks of complete weights."""
     for start in range(0, len(weights), chunk_bytes):
         yield weights[start : start + chunk_bytes]
 
 
 def read_manifest(encoded: bytes, name: str) -> Manifest:
-    """Check a manifest against its name and take it apart."""
+    """Verify a manifest against its name and parse it."""
     if digest_name(encoded) != name:
         raise WeightsError('manifest-digest-differs', name)
     return parse_manifest(encoded)
 
 
 def parse_manifest(encoded: bytes) -> Manifest:
-    """Take a manifest apart that is named by something else than its digest."""
+    """Parse a manifest that is not named by its digest."""
     try:
         magic, size, chunk_bytes, whole = _HEAD.unpack_from(encoded)
     except struct.error as exc:
         raise WeightsError('manifest-malformed', 'head') from exc
     rest = encoded[_HEAD.size :]
     digests = tuple(split(rest, _DIGEST_BYTES))
-    if magic != _MAGIC or not _consistent(size, chunk_bytes, len(digests)):
+    if magic != _MAGIC or not _sizes_match(size, chunk_bytes, len(digests)):
         raise WeightsError('manifest-malformed', 'sizes')
     return Manifest(size, chunk_bytes, whole, digests)
 
 
-def _consistent(size: int, chunk_bytes: int, count: int) -> bool:
+def _sizes_match(size: int, chunk_bytes: int, count: int) -> bool:
     if chunk_bytes <= 0 or count > MAX_CHUNKS:
         return False
     return count == -(-size // chunk_bytes)
 
 
 class ChunkStore:
-    """Keep checked chunks in memory by digest, shared among versions."""
+    """Keep verified chunks in memory by digest, shared among versions."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -87,11 +87,11 @@
 
     @property
     def size(self) -> int:
-        """Give the bytes held."""
+        """Give the size of all held chunks in bytes."""
         return sum(len(chunk) for chunk in self._chunks.values())
 
     def keep(self, manifest: Manifest, index: int, chunk: bytes) -> bool:
-        """Keep a chunk if its digest is right; tell whether it was."""
+        """Keep a chunk if its digest matches; tell whether it does."""
         digest = hashlib.sha256(chunk).digest()
         if digest != manifest.digests[index]:
             return False
@@ -99,7 +99,7 @@
         return True
 
     def chunk(self, manifest: Manifest, index: int) -> bytes | None:
-        """Give a held chunk."""
+        """Give a chunk, or None if it is not held."""
         return self._chunks.get(manifest.digests[index])
 
     def held(self, manifest: Manifest) -> int:
@@ -111,7 +111,7 @@
         )
 
     def verify(self, manifest: Manifest) -> bool:
-        """Check the digest over all chunks in their order."""
+        """Tell whether all chunks are held and match the whole digest."""
         hasher = hashlib.sha256()
         for digest in manifest.digests:
             chunk = self._chunks.get(digest)
@@ -120,33 +120,33 @@
             hasher.update(chunk)
         return hasher.digest() == manifest.whole_digest
 
-    def drop_all_but(self, kept: list[Manifest]) -> None:
-        """Forget chunks that none of the manifests names."""
-        named = {digest for manifest in kept for digest in manifest.digests}
+    def retain_only(self, kept: list[Manifest]) -> None:
+        """Drop chunks that none of the manifests lists."""
+        listed = {digest for manifest in kept for digest in manifest.digests}
         self._chunks = {
             digest: chunk
             for digest, chunk in self._chunks.items()
-            if digest in named
+            if digest in listed
         }
 
 
 def full_bitmap(count: int) -> int:
-    """Give the bitmap with every chunk held."""
+    """Give the bitmap of this many chunks with every bit set."""
     return (1 << count) - 1
 
 
 def pack_bitmap(bitmap: int, count: int) -> bytes:
-    """Pack a bitmap for the wire."""
+    """Pack a bitmap for the wire, little-endian."""
     return bitmap.to_bytes((count + 7) // 8, 'little')
 
 
 def unpack_bitmap(packed: bytes, count: int) -> int:
-    """Unpack a bitmap, ignoring bits past the last chunk."""
+    """Unpack a bitmap, ignoring bits after the last chunk."""
     return int.from_bytes(packed, 'little') & full_bitmap(count)
 
 
 def indices(bitmap: int) -> Iterator[int]:
-    """Yield the chunks in a bitmap, lowest first."""
+    """Yield the indices of the set bits, lowest first."""
     while bitmap:
         low = bitmap & -bitmap
         yield low.bit_length() - 1
--- a/src/linnetwood/weights/engine.py
+++ b/src/linnetwood/weights/engine.py
@@ -1,4 +1,4 @@
-"""An engine that takes staged chunks layer by layer, as the product sees it."""
+"""The interface of an engine that loads staged chunks layer by layer."""
 
 import dataclasses
 import enum
@@ -10,9 +10,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself; changing means an order is under way.
+    """The state that an engine reports; changing means an order in progress.
 
-    Counts begin anew with each life; it was born at a Unix time, 0 if unknown.
+    Counts restart with each incarnation of the engine; born is the Unix time of
+    its start, 0 if unknown.
     """
 
     waiting: int
@@ -26,7 +27,7 @@
 
 
 class OrderResult(enum.Enum):
-    """What became of an order."""
+    """The result of an order."""
 
     TAKEN = 'taken'
     DONE = 'done'
@@ -35,31 +36,31 @@
 
 
 class Engine(Protocol):
-    """Speak to the engine of this VM; each call may raise OrderError."""
+    """Control the engine of this VM; each method may raise OrderError."""
 
     async def report(self) -> EngineReport:
-        """Ask what it does."""
+        """Get its report."""
 
     async def staged(self, model: str) -> list[int]:
-        """Ask which chunks lie there."""
+        """Give the indices of the staged chunks."""
 
     async def read_staged(self, model: str, index: int) -> bytes | None:
-        """Read a chunk that lies there."""
+        """Read a staged chunk; None if it is not staged."""
 
     async def stage(self, model: str, index: int, chunk: bytes) -> None:
-        """Lay a chunk there."""
+        """Stage a chunk."""
 
     async def activate(
         self, model: str, version: int, orders: int
     ) -> OrderResult:
-        """Order it to serve what lies there, if it took so many orders."""
+        """Order it to serve the staged version if it took orders before."""
 
 
 class Origin(Protocol):
-    """Read from the origin; each call may raise WeightsError."""
+    """Read from the origin; each method may raise WeightsError."""
 
     async def manifest(self, model: str, version: int) -> Manifest:
-        """Read the digests of a version."""
+        """Read the manifest of a version."""
 
     async def chunk(self, model: str, version: int, index: int) -> bytes:
-        """Read one chunk, unchecked."""
+        """Read one chunk without verifying it."""
--- a/src/linnetwood/weights/enginecontroller.py
+++ b/src/linnetwood/weights/enginecontroller.py
@@ -1,4 +1,4 @@
-"""Put complete versions in service at the engine, and keep them there."""
+"""Put complete versions into service at the engine and check they stay."""
 
 import dataclasses
 
@@ -18,12 +18,12 @@
     next_fence,
 )
 
-_CHECK_EVERY_S = 1.0
+_CHECK_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """The version that this VM should serve."""
+    """The version that this VM is to serve."""
 
     label: str
     manifest: str
@@ -31,7 +31,7 @@
 
 
 class EngineController:
-    """Take the engine out of service, order loads, believe confirmations."""
+    """Take the engine out of service, order loads, verify confirmations."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         guard: Guard,
         clock: Clock,
     ) -> None:
-        """Know nothing of the engine yet."""
+        """Start without knowledge of the engine."""
         self.pauses = PauseWatch(clock.now())
         self._gossip = gossip
         self._orders = orders
@@ -49,37 +49,37 @@
         self._checked_at = float()
 
     def serves(self, target: Target) -> bool:
-        """Tell whether calls are taken for the target."""
+        """Tell whether calls are accepted for the target."""
         return self._guard.state.serving == target.label
 
     async def adopt_if_served(self, target: Target) -> bool:
-        """Go into service if the engine names the target exactly."""
-        if not await self._names(target):
+        """Go into service if the engine reports exactly the target."""
+        if not await self._engine_reports(target):
             return False
         self.go_into_service(target, 1)
         return True
 
     async def still_serves(self, target: Target) -> bool:
-        """Ask the engine now and then; tell whether it lost the target."""
+        """Check the engine every second; tell whether it serves the target."""
         now = self._clock.now()
-        if now - self._checked_at < _CHECK_EVERY_S:
+        if now - self._checked_at < _CHECK_INTERVAL_S:
             return True
         self._checked_at = now
-        if await self._names(target):
+        if await self._engine_reports(target):
             return True
-        # The engine was started anew, or somebody else gave it an order.
+        # The engine was restarted or took an order from elsewhere.
         log(Event.ORDER_REFUSED, code='engine-changed', version=target.label)
         self._guard.state.serving = ''
         self._gossip.update_self(serving='')
         return False
 
     def may_load(self, target: Target, total: int) -> bool:
-        """Tell whether it is this VM's turn to leave service for a load."""
+        """Tell whether this VM may leave service for a load now."""
         me = self._gossip.own_record
         if not me.serving:
             return True
         if me.wanted != target.label:
-            # Only now do the others need to know that this VM holds it all.
+            # Other VMs need the complete count only from now on.
             self._gossip.update_self(
                 wanted=target.label, held=total, total=total
             )
@@ -87,7 +87,7 @@
         return placement.may_load(me.vm, target.intent, members)
 
     async def leave_service(self) -> None:
-        """Take no calls, and wait for every call in progress, however long."""
+        """Accept no calls, and wait without limit for the calls in progress."""
         self._guard.state.loading = True
         self._guard.state.serving = ''
         self._gossip.update_self(serving='')
@@ -102,7 +102,7 @@
         """Order the load; raise OrderError unless it is confirmed exactly."""
         status = await self._orders.status()
         if not self.pauses.may_order(self._clock.now()):
-            raise OrderError('paused', 'no order before a peer has answered')
+            raise OrderError('paused', 'no order until a peer has answered')
         order = LoadOrder(
             fence=next_fence(revision, status.fence),
             serving=target.label,
@@ -113,7 +113,7 @@
         await self._orders.load(order)
 
     def go_into_service(self, target: Target, total: int) -> None:
-        """Take calls for the target, and say so."""
+        """Accept calls for the target, and publish that."""
         self._guard.state.serving = target.label
         self._guard.state.loading = False
         self._gossip.update_self(
@@ -123,7 +123,7 @@
             total=total,
         )
 
-    async def _names(self, target: Target) -> bool:
+    async def _engine_reports(self, target: Target) -> bool:
         status = await self._orders.status()
-        found = (status.serving, status.manifest)
-        return found == (target.label, target.manifest)
+        reported = (status.serving, status.manifest)
+        return reported == (target.label, target.manifest)
--- a/src/linnetwood/weights/exchange.py
+++ b/src/linnetwood/weights/exchange.py
@@ -1,4 +1,4 @@
-"""Ask peers for chunks, and serve those that are held to them."""
+"""Request chunks from peers, and serve held chunks to them."""
 
 import asyncio
 import dataclasses
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TransferCounters:
-    """Count what a transfer cost."""
+    """Count the bytes and bad chunks of transfers."""
 
     origin_bytes: int = 0
     peer_bytes: int = 0
@@ -34,35 +34,36 @@
         counters: TransferCounters,
         limit: int,
     ) -> None:
-        """Serve from the store over the link."""
+        """Serve from the store over the link, with at most limit queued."""
         self.queued = 0
         self.manifests: dict[str, chunks.Manifest] = {}
         self.store = store
         self._link = link
         self._counters = counters
         self._limit = limit
-        self._turn = asyncio.Lock()
+        self._upload_lock = asyncio.Lock()
 
     async def serve(self, stream: FrameStream, frame: Frame) -> None:
         """Answer one request for a chunk."""
         request = decode(ChunkRequest, frame.payload)
         payload = self._payload(request)
-        # A manifest is small, and nobody can begin without it.
-        full = self.queued >= self._limit
-        busy = full and request.index != chunks.MANIFEST_INDEX
-        if payload is None or busy:
+        # Manifests are always served: they are small, and no download can
+        # start without one.
+        is_full = self.queued >= self._limit
+        is_busy = is_full and request.index != chunks.MANIFEST_INDEX
+        if payload is None or is_busy:
             await self._reply(stream, request, held_here=False)
             return
         self.queued += 1
         try:
-            async with self._turn:
+            async with self._upload_lock:
                 await self._send(stream, request, payload)
         finally:
             self.queued -= 1
         self._counters.bytes_sent += len(payload)
 
     def held_bytes(self, name: str) -> bytes:
-        """Pack what is held of a manifest."""
+        """Give the packed bitmap of the chunks held of a manifest."""
         manifest = self.manifests.get(name)
         if manifest is None:
             return b''
@@ -113,15 +114,15 @@
 
 
 class Fetcher:
-    """Ask one peer at a time over a connection that is kept."""
+    """Request chunks over one persistent connection per peer."""
 
     def __init__(self, me: str, dialler: Dialler, link: Link) -> None:
-        """Hold no connection yet."""
+        """Start without connections."""
         self._me = me
         self._dialler = dialler
         self._link = link
         self._streams: dict[str, FrameStream] = {}
-        self._turns: dict[str, asyncio.Lock] = {}
+        self._locks: dict[str, asyncio.Lock] = {}
 
     async def fetch(
         self,
@@ -129,24 +130,26 @@
         address: Address,
         manifest: str,
         index: int,
-        flows: Callable[[], None] | None = None,
+        on_first_byte: Callable[[], None] | None = None,
     ) -> tuple[ChunkReply, bytes]:
-        """Ask for a chunk; give the reply and the bytes, if any.
+        """Request a chunk; give the reply and the bytes, if any.
 
-        The caller may be told when the bytes begin to flow.
+        on_first_byte is called before the bytes of the chunk are read.
         """
-        async with self._turns.setdefault(vm, asyncio.Lock()):
+        async with self._locks.setdefault(vm, asyncio.Lock()):
             stream = await self._stream(vm, address)
             try:
-                return await self._exchange(stream, manifest, index, flows)
+                return await self._exchange(
+                    stream, manifest, index, on_first_byte
+                )
             except BaseException:
-                # A broken exchange must not leave its answer to the next.
+                # The next exchange must not read the answer of a failed one.
                 self._streams.pop(vm, None)
                 stream.close()
                 raise
 
     def last_received_at(self) -> dict[str, float]:
-        """Give when the last byte came from each peer, by the clock."""
+        """Give the clock's time of the last byte from each peer."""
         return {vm: stream.heard_at for vm, stream in self._streams.items()}
 
     def close(self) -> None:
@@ -167,7 +170,7 @@
         stream: FrameStream,
         manifest: str,
         index: int,
-        flows: Callable[[], None] | None,
+        on_first_byte: Callable[[], None] | None,
     ) -> tuple[ChunkReply, bytes]:
         request = ChunkRequest(asker=self._me, manifest=manifest, index=index)
         await stream.write(FrameKind.CHUNK_REQUEST, encode(request))
@@ -176,15 +179,15 @@
             raise WeightsError('wrong-chunk-answered', f'{reply.index}')
         if not reply.held_here:
             return reply, b''
-        if flows is not None:
-            flows()
+        if on_first_byte is not None:
+            on_first_byte()
         frame = await _frame(stream, index)
         await self._link.receive(len(frame.payload))
         return reply, frame.payload
 
 
 async def _frame(stream: FrameStream, index: int) -> Frame:
-    # A swarm watches over chunks; nobody does over a manifest.
+    # The swarm has a timeout for chunks; manifests have none but this.
     if index == chunks.MANIFEST_INDEX:
         return await stream.read_within(SILENT_S)
     return await stream.read()
--- a/src/linnetwood/weights/fetching.py
+++ b/src/linnetwood/weights/fetching.py
@@ -209,7 +209,7 @@
             if name in fetched:
                 kept[name] = known
         uploads.manifests = {**kept, aim.name: manifest}
-        self._tools.store.drop_all_but(list(uploads.manifests.values()))
+        self._tools.store.retain_only(list(uploads.manifests.values()))
 
     async def _drop(self, aim: Aim) -> None:
         log(Event.TRANSFER_DROPPED, manifest=aim.name)
--- a/src/linnetwood/weights/inboundlink.py
+++ b/src/linnetwood/weights/inboundlink.py
@@ -1,255 +1,271 @@
-"""Measure what this VM's link brings, and what lies on it; no I/O or clock."""
+"""Estimate the rate and the backlog of this VM's inbound link.
+
+No I/O or clock inside.
+"""
 
 import collections
 
-# What may be under way beyond the one chunk that has to be. Calls to the engine
-# here wait behind it; entries allow them 0.8 s to arrive and begin.
-_AHEAD_S = 0.4
-# The fastest of so many chunks tells of the link, since slow senders show in
-# others: as many as are asked of peers at a time on the narrowest links.
-_SAMPLES = 3
-# A way that gets shorter is believed by this part each time it is told, so that
-# one moment between two chunks does not count as a free link.
-_SHORTER_SHARE = 0.3
-# What came longer ago tells nothing of a link that may have narrowed since,
-# where anything has come later.
+# Backlog allowed beyond the one chunk that is always allowed. Calls to the
+# engine of this VM queue behind it; entries allow them 0.8 s to arrive and
+# start.
+_EXTRA_BACKLOG_S = 0.4
+# Number of chunks of which the fastest gives the rate of the link; slow senders
+# lengthen the others. Equals the chunks requested from peers at the same time
+# on the narrowest links.
+_SAMPLE_COUNT = 3
+# Share of a decrease of the link delay that is applied with each report, so
+# that a moment between two chunks does not count as an idle link.
+_DECREASE_SHARE = 0.3
+# Older measurements are ignored when there are newer ones, since the bandwidth
+# of the link may have dropped.
 _RECENT_S = 1.5
-# A chunk that comes within this shows that nothing else waits on the link.
-_QUICK_S = 0.3
-# A link that brings nothing for so long, while peers are given up, holds back
-# what is not known: then the way counts as long as calls were seen to wait.
-_STUCK_S = 0.8
-_STUCK_WAY_S = 2.0
-# So long nothing may be under way until a link counts as unknown.
+# A chunk received within this time shows that nothing else queues on the link.
+_QUICK_CHUNK_S = 0.3
+# A link that has brought nothing for _STALL_S while requests to peers time out
+# has an unknown backlog; its reported delay is then at least _STALL_DELAY_S, as
+# long as calls were seen to wait.
+_STALL_S = 0.8
+_STALL_DELAY_S = 2.0
+# After this time without pending chunks a suspicion of congestion ends.
 _IDLE_S = 1.0
 
-_Dated = collections.deque[tuple[float, float]]
+_TimedSpans = collections.deque[tuple[float, float]]
 
 
-def _recent(dated: _Dated, now: float) -> float:
-    """Give the least of what was measured lately, or at all."""
-    lately = [span_s for at, span_s in dated if now - at <= _RECENT_S]
-    return min(lately or [span_s for _, span_s in dated], default=0)
+def _recent_minimum(spans: _TimedSpans, now: float) -> float:
+    """Give the least of the recent spans, or of all if none is recent."""
+    recent = [span_s for at, span_s in spans if now - at <= _RECENT_S]
+    return min(recent or [span_s for _, span_s in spans], default=0)
 
 
 class InFlightChunk:
-    """One chunk that was asked for and has not come."""
+    """A chunk that was requested and has not been received."""
 
-    __slots__ = ('came_before', 'flows_since', 'sampled', 'since')
+    __slots__ = ('flowing_since', 'received_before', 'sampled', 'since')
 
     def __init__(
-        self, since: float, came_before: int, *, sampled: bool
+        self, since: float, received_before: int, *, sampled: bool
     ) -> None:
-        """Keep since when, how many had come by then, and if it tells."""
+        """Keep the request's time and the count of chunks received by then.
+
+        If sampled, the chunk's time counts for the rate of the link.
+        """
         self.since = since
-        # Until its first byte is seen, it may be flowing all the while.
-        self.flows_since = since
-        self.came_before = came_before
+        # Until its first byte is seen, it may have flowed since the request.
+        self.flowing_since = since
+        self.received_before = received_before
         self.sampled = sampled
 
 
 class InboundLink:
-    """Hold the chunks under way to this VM, and how fast they come.
+    """Hold the chunks in flight to this VM, and estimate the link's rate.
 
-    All downloads of a VM share one, since they share its link.
+    All downloads of a VM share one instance, since they share its link.
     """
 
     def __init__(self) -> None:
-        """Know nothing of the link."""
-        self._came = 0
-        self._way_s = float()
-        self._flights: set[InFlightChunk] = set()
-        self._undated: list[tuple[InFlightChunk, int]] = []
-        self._left: list[InFlightChunk] = []
-        self._given_up: list[float] = []
-        # Seconds for a chunk, each with when that was measured.
-        self._samples: _Dated = collections.deque(maxlen=_SAMPLES)
+        """Start without any measurement."""
+        self._received_count = 0
+        self._link_delay_s = float()
+        self._in_flight: set[InFlightChunk] = set()
+        self._unmeasured: list[tuple[InFlightChunk, int]] = []
+        self._abandoned: list[InFlightChunk] = []
+        self._timed_out_until: list[float] = []
+        # Seconds for a peer's chunk, each with the time of its measurement.
+        self._peer_paces: _TimedSpans = collections.deque(maxlen=_SAMPLE_COUNT)
         self._paces: collections.deque[float] = collections.deque(
-            maxlen=_SAMPLES,
+            maxlen=_SAMPLE_COUNT,
         )
-        self._took_s: _Dated = collections.deque(maxlen=_SAMPLES)
-        # Peers were asked, and nothing has come since that shows a free link.
-        self._in_doubt = False
-        self._doubted_since = float()
-        self._still_since = float()
-        self._awaited_at = float()
+        self._durations: _TimedSpans = collections.deque(maxlen=_SAMPLE_COUNT)
+        # True after a request to a peer until a chunk shows an idle link.
+        self._suspects_congestion = False
+        self._suspected_since = float()
+        self._no_data_since = float()
+        self._peer_awaited_at = float()
         self._busy_at = float()
 
     @property
     def chunk_s(self) -> float:
-        """Give the seconds that the link takes for a chunk; 0 if unknown."""
-        return min((span_s for _, span_s in self._samples), default=0)
+        """Give the seconds that the link needs for a chunk; 0 if unknown."""
+        return min((span_s for _, span_s in self._peer_paces), default=0)
 
     @property
     def backlog_s(self) -> float:
-        """Give the seconds that the link takes for all that may still come."""
-        return self.chunk_s * self._under_way
+        """Give the seconds that the link needs for all pending chunks."""
+        return self.chunk_s * self._pending_count
 
     @property
     def backlog_with_origin_s(self) -> float:
-        """Give the seconds that all under way may take, if senders do not tell.
+        """Give the seconds for all pending chunks, by all sources' chunks.
 
-        The origin's chunks count here: where they are slow as well, it may be
-        this link, and what was asked for waits behind them.
+        The origin's chunks count here: where they are slow as well, the cause
+        may be this link, and requested chunks wait behind them.
         """
-        return min(self._paces, default=0) * self._under_way
+        return min(self._paces, default=0) * self._pending_count
 
     def update_link_delay_s(self, now: float) -> float:
-        """Give how long bytes of others may wait on the way here, smoothed.
+        """Give how long other traffic may queue on this link, smoothed, in s.
 
-        A longer way is told at once. It is called once for each report.
+        An increase is reported at once. Call it once for each report.
         """
         self.update(now)
-        if self._samples:
-            way_s = self._measured_s(now)
+        if self._peer_paces:
+            delay_s = self._measured_delay_s(now)
         else:
-            # Whom nothing came of may be given up by now; the link is no freer.
-            doubted_s = now - self._still_since if self._in_doubt else 0
-            way_s = max(self._oldest_s(now), doubted_s)
-        share = _SHORTER_SHARE if way_s < self._way_s else 1
-        self._way_s += share * (way_s - self._way_s)
-        return self._way_s
+            # Requests to peers that sent nothing may have timed out by now, but
+            # the link is no less busy for that.
+            suspected_s = (
+                now - self._no_data_since if self._suspects_congestion else 0
+            )
+            delay_s = max(self._oldest_age_s(now), suspected_s)
+        share = _DECREASE_SHARE if delay_s < self._link_delay_s else 1
+        self._link_delay_s += share * (delay_s - self._link_delay_s)
+        return self._link_delay_s
 
     def record_request(
         self, now: float, *, sampled: bool = True
     ) -> InFlightChunk:
-        """Note that a chunk was asked for.
+        """Record a request for a chunk.
 
-        How long it takes tells of this link, unless others share the sender's.
+        Its time is a sample of this link, unless others share the sender's.
         """
         self._busy_at = now
         if sampled:
-            self._awaited_at = now
-            self._doubt(now)
-        flight = InFlightChunk(now, self._came, sampled=sampled)
-        self._flights.add(flight)
-        return flight
-
-    def record_first_byte(self, flight: InFlightChunk, now: float) -> None:
-        """Note a chunk's first byte: up to now it waited for its sender."""
-        flight.flows_since = now
-        flight.came_before = self._came
-        self._still_since = now
-
-    def record_received(self, flight: InFlightChunk) -> None:
-        """Note that a chunk has come; it is dated when things are settled."""
-        if flight in self._flights:
-            self._flights.remove(flight)
-            self._came += 1
-            self._undated.append((flight, self._came))
-
-    def record_failed(self, flight: InFlightChunk) -> None:
-        """Note that nothing will come."""
-        self._flights.discard(flight)
-
-    def record_abandoned(self, flight: InFlightChunk) -> None:
-        """Note that whom it was asked of is left; it may still come.
-
-        As what has come, it is dated when things are settled.
+            self._peer_awaited_at = now
+            self._suspect_congestion(now)
+        chunk = InFlightChunk(now, self._received_count, sampled=sampled)
+        self._in_flight.add(chunk)
+        return chunk
+
+    def record_first_byte(self, chunk: InFlightChunk, now: float) -> None:
+        """Record a chunk's first byte: until now it waited for its sender."""
+        chunk.flowing_since = now
+        chunk.received_before = self._received_count
+        self._no_data_since = now
+
+    def record_received(self, chunk: InFlightChunk) -> None:
+        """Record a received chunk; the next update gives it its time."""
+        if chunk in self._in_flight:
+            self._in_flight.remove(chunk)
+            self._received_count += 1
+            self._unmeasured.append((chunk, self._received_count))
+
+    def record_failed(self, chunk: InFlightChunk) -> None:
+        """Record that a chunk will not be received."""
+        self._in_flight.discard(chunk)
+
+    def record_abandoned(self, chunk: InFlightChunk) -> None:
+        """Record that a chunk's sender was abandoned; it may still arrive.
+
+        The next update gives it its time, as for received chunks.
         """
-        if flight in self._flights:
-            self._flights.remove(flight)
-            self._left.append(flight)
+        if chunk in self._in_flight:
+            self._in_flight.remove(chunk)
+            self._abandoned.append(chunk)
 
     def record_timeout(self, now: float) -> None:
-        """Note that a chunk is no longer waited for, but may still come."""
+        """Record that a chunk timed out; it may still arrive."""
         pace_s = min(self._paces, default=0)
-        self._given_up.append(now + self.backlog_with_origin_s + pace_s)
+        self._timed_out_until.append(now + self.backlog_with_origin_s + pace_s)
 
     def update(self, now: float) -> None:
-        """Date what has come; forget what was given up and must be through.
+        """Measure received chunks; forget timed-out ones that are overdue.
 
-        How many chunks came while one flowed is the rate of the link, if that
-        is what held them up, and less if the senders did.
+        The count of chunks received while one flowed gives the rate of the
+        link if the link was the bottleneck, and a lower rate if senders were.
         """
-        self._look_for_idleness(now)
-        for flight, came in self._undated:
-            took_s = now - flight.since
-            self._took_s.append((now, took_s))
-            flowed_s = now - flight.flows_since
-            pace_s = flowed_s / (came - flight.came_before)
+        self._clear_suspicion_if_idle(now)
+        for chunk, received_count in self._unmeasured:
+            took_s = now - chunk.since
+            self._durations.append((now, took_s))
+            flowed_s = now - chunk.flowing_since
+            pace_s = flowed_s / (received_count - chunk.received_before)
             self._paces.append(pace_s)
-            if flight.sampled:
-                self._samples.append((now, pace_s))
-            self._still_since = now
-            # What peers are asked for yet is in doubt from now on.
-            if flight.sampled or took_s < _QUICK_S:
-                self._in_doubt = any(one.sampled for one in self._flights)
-        self._undated.clear()
-        while self._left:
-            self._left.pop()
+            if chunk.sampled:
+                self._peer_paces.append((now, pace_s))
+            self._no_data_since = now
+            # From now on only pending chunks of peers may show congestion.
+            if chunk.sampled or took_s < _QUICK_CHUNK_S:
+                self._suspects_congestion = any(
+                    pending.sampled for pending in self._in_flight
+                )
+        self._unmeasured.clear()
+        while self._abandoned:
+            self._abandoned.pop()
             self.record_timeout(now)
-        self._given_up = [until for until in self._given_up if until > now]
+        self._timed_out_until = [
+            until for until in self._timed_out_until if until > now
+        ]
 
     def request_budget(self, unmeasured: int) -> int:
-        """Give how many more chunks may be asked for.
+        """Give how many more chunks may be requested.
 
-        So many may be under way at most while the link is not measured.
+        :param unmeasured: chunks allowed in flight until the link is measured
         """
-        most = unmeasured
+        allowed = unmeasured
         chunk_s = self.chunk_s
         if chunk_s:
-            most = 1 + int(_AHEAD_S / chunk_s)
-        return most - self._under_way
+            allowed = 1 + int(_EXTRA_BACKLOG_S / chunk_s)
+        return allowed - self._pending_count
 
-    def _measured_s(self, now: float) -> float:
-        """Reckon the way by what came last, and by how long nothing has.
+    def _measured_delay_s(self, now: float) -> float:
+        """Estimate the delay by recent chunks and the time without any.
 
-        What came quickly shows that the way is no longer than that. One of many
-        senders that sends nothing does not count: others' chunks come.
+        A chunk received quickly bounds the delay by the time that it took. One
+        silent sender of many does not count, since others' chunks arrive.
         """
-        took_s = _recent(self._took_s, now)
-        owed_s = _recent(self._samples, now) * self._under_way
-        if not self._in_doubt:
-            return min(owed_s, took_s)
-        if now - self._sampled_at > _RECENT_S:
-            owed_s = took_s
-        still_s = now - self._still_since
-        stuck_s = _STUCK_WAY_S if still_s > _STUCK_S else 0
-        return max(min(owed_s, took_s), still_s, stuck_s)
-
-    def _doubt(self, now: float) -> None:
-        if not self._in_doubt:
-            self._in_doubt = True
-            self._doubted_since = now
-            self._still_since = now
-
-    def _look_for_idleness(self, now: float) -> None:
-        """End the doubt where nothing has been under way for a while.
-
-        The same at once where it ended before it can have come.
+        took_s = _recent_minimum(self._durations, now)
+        backlog_s = _recent_minimum(self._peer_paces, now) * self._pending_count
+        if not self._suspects_congestion:
+            return min(backlog_s, took_s)
+        if now - self._last_peer_chunk_at > _RECENT_S:
+            backlog_s = took_s
+        no_data_s = now - self._no_data_since
+        stall_delay_s = _STALL_DELAY_S if no_data_s > _STALL_S else 0
+        return max(min(backlog_s, took_s), no_data_s, stall_delay_s)
+
+    def _suspect_congestion(self, now: float) -> None:
+        if not self._suspects_congestion:
+            self._suspects_congestion = True
+            self._suspected_since = now
+            self._no_data_since = now
+
+    def _clear_suspicion_if_idle(self, now: float) -> None:
+        """End the suspicion after a while without pending chunks.
+
+        It ends at once where requests ended too soon to have been delayed.
         """
-        if self._awaits_peers:
-            self._awaited_at = now
-        elif self._awaited_at - self._doubted_since < _QUICK_S:
-            # They said no, whatever the origin lets wait.
-            self._in_doubt = False
-        if self._under_way:
+        if self._is_peer_chunk_pending:
+            self._peer_awaited_at = now
+        elif self._peer_awaited_at - self._suspected_since < _QUICK_CHUNK_S:
+            # The peers refused quickly, however long the origin takes.
+            self._suspects_congestion = False
+        if self._pending_count:
             self._busy_at = now
             return
-        held_up_s = self._busy_at - self._still_since
-        if held_up_s < _QUICK_S or now - self._busy_at > _IDLE_S:
-            self._in_doubt = False
+        delayed_s = self._busy_at - self._no_data_since
+        if delayed_s < _QUICK_CHUNK_S or now - self._busy_at > _IDLE_S:
+            self._suspects_congestion = False
 
     @property
-    def _awaits_peers(self) -> bool:
-        asked = any(flight.sampled for flight in self._flights)
-        return asked or bool(self._left or self._given_up)
+    def _is_peer_chunk_pending(self) -> bool:
+        is_requested = any(chunk.sampled for chunk in self._in_flight)
+        return is_requested or bool(self._abandoned or self._timed_out_until)
 
     @property
-    def _sampled_at(self) -> float:
-        return self._samples[-1][0]
+    def _last_peer_chunk_at(self) -> float:
+        return self._peer_paces[-1][0]
 
-    def _oldest_s(self, now: float) -> float:
-        """Give how long a chunk has been held up; it may be by this link."""
+    def _oldest_age_s(self, now: float) -> float:
+        """Give the age of the oldest chunk; this link may be the cause."""
         ages = [
-            now - flight.flows_since
-            for flight in self._flights
-            if flight.sampled
+            now - chunk.flowing_since
+            for chunk in self._in_flight
+            if chunk.sampled
         ]
         return max(ages, default=0)
 
     @property
-    def _under_way(self) -> int:
-        unasked = len(self._left) + len(self._given_up)
-        return len(self._flights) + unasked
+    def _pending_count(self) -> int:
+        no_longer_awaited = len(self._abandoned) + len(self._timed_out_until)
+        return len(self._in_flight) + no_longer_awaited
--- a/src/linnetwood/weights/manifests.py
+++ b/src/linnetwood/weights/manifests.py
@@ -1,11 +1,11 @@
-"""Find the manifest of a version: a few ask the origin, the others those few.
-
-Load pattern: a version is named, and a hundred VMs need its manifest at once
-from an origin that takes few connections and brings about a megabyte a second.
-Asked by all, manifests alone took the origin's link for most of a second, and
-whoever was turned away asked again three times a second. Now two VMs of a zone
-ask at once; word of what a peer holds tells the others whom to ask, and whoever
-hears of nobody asks the origin at its turn.
+"""Find the manifest of a version: few VMs read it from the origin.
+
+Load pattern: a version is published, and 100 VMs need its manifest at once from
+an origin that accepts few connections and sends about 1 MB/s. If all requested
+it there, manifests alone would take the origin's link for most of a second, and
+refused VMs would retry 3 times a second. So 2 VMs of a zone request it at once;
+the others read it from peers that report to hold it, and a VM without a known
+holder requests it from the origin at its turn.
 """
 
 import asyncio
@@ -23,30 +23,31 @@
 from linnetwood.weights.engine import Origin
 from linnetwood.wire.connections import Address
 
-# One asks, and one more in case it is gone or its way is slow.
+# One would do; the second covers a VM that is gone or has a slow link.
 _FIRST_READERS = 2
-# A holder's word comes within two of its ticks, and a manifest of 3 KB after
-# that; so long the next VM waits for the one before.
+# How long a VM waits for the one before it: a holder's notice arrives within 2
+# of the holder's ticks, and a manifest of 3 KB after that.
 _TURN_S = 0.15
-# A version's bound can spare no more for a zone whose readers are all gone.
-_TURN_MOST_S = 1.5
-# A holder that serves others is asked again soon.
-_AGAIN_S = 0.1
-# An origin that fails is left alone for as long as one that fails a chunk.
-_AWAY_FIRST_S = 0.1
-_AWAY_MOST_S = 0.8
-_AWAY_LEAST_SHARE = 0.5
-# So many more are asked of whom no word has come. While the origin is away all
-# VMs of a fleet ask, up to three times a second each; all partners would be 36
-# connections in each try.
-_ASKED_BLINDLY = 2
-# So many of those who hold a manifest are known, and of so many manifests.
-_HOLDERS_KEPT = 32
-_NAMES_KEPT = 4
+# Longest wait that a version's time bound allows if all readers of a zone are
+# gone.
+_MAX_WAIT_S = 1.5
+# Pause before holders that were busy with other requests are tried again.
+_RETRY_S = 0.1
+# Backoff after a failure of the origin, the same as for chunks.
+_BACKOFF_FIRST_S = 0.1
+_BACKOFF_MAX_S = 0.8
+_BACKOFF_MIN_SHARE = 0.5
+# Number of peers tried that have sent no notice. While the origin is
+# unreachable all VMs of a fleet try, up to 3 times a second each; trying all
+# partners would open 36 connections each time.
+_UNREPORTED_PEERS = 2
+# Number of holders remembered per manifest, and of manifests with holders.
+_MAX_HOLDERS = 32
+_MAX_MANIFESTS = 4
 
 
 class PeerFetcher(Protocol):
-    """Ask a peer for a chunk, or for a manifest in its place."""
+    """Request a chunk from a peer, or the manifest as index -1."""
 
     async def fetch(
         self,
@@ -59,18 +60,18 @@
 
 
 def rank(me: str, vms: set[str], name: str) -> int:
-    """Give this VM's place among those of its zone; all agree on it."""
+    """Give this VM's rank in its zone, from 0; all VMs compute the same."""
     order = sorted(vms | {me}, key=lambda vm: hash64(f'{name}|read|{vm}'))
     return order.index(me)
 
 
-def turn_s(place: int) -> float:
-    """Give after how long the VM of a place asks the origin."""
-    return min(_TURN_MOST_S, max(0, place + 1 - _FIRST_READERS) * _TURN_S)
+def origin_wait_s(vm_rank: int) -> float:
+    """Give the seconds until the VM of a rank asks the origin."""
+    return min(_MAX_WAIT_S, max(0, vm_rank + 1 - _FIRST_READERS) * _TURN_S)
 
 
 class ManifestFinder:
-    """Know who holds which manifest, and find one."""
+    """Record the holders of manifests, and find a manifest."""
 
     def __init__(
         self,
@@ -80,25 +81,25 @@
         port: int,
         rng: Random,
     ) -> None:
-        """Know of no holder; all peers serve on one port."""
+        """Start without holders; all peers serve on one port."""
         self._me = me
         self._fetcher = fetcher
         self._origin = origin
         self._port = port
         self._rng = rng
         self._holders: dict[str, list[str]] = {}
-        self._heard = asyncio.Event()
+        self._holder_added = asyncio.Event()
         self._failures = 0
 
     def record_holder(self, name: str, host: str) -> None:
-        """Take in that a peer holds a manifest."""
+        """Record that a peer holds a manifest."""
         holders = self._holders.setdefault(name, [])
-        while len(self._holders) > _NAMES_KEPT:
+        while len(self._holders) > _MAX_MANIFESTS:
             self._holders.pop(next(iter(self._holders)))
         if host not in holders:
             holders.append(host)
-            del holders[:-_HOLDERS_KEPT]  # noqa: WPS420
-            self._heard.set()
+            del holders[:-_MAX_HOLDERS]  # noqa: WPS420
+            self._holder_added.set()
 
     async def find(
         self,
@@ -107,29 +108,29 @@
         near: set[str],
         partners: Callable[[str], list[str]],
     ) -> chunks.Manifest:
-        """Give the manifest; raise WeightsError where nobody has it yet."""
+        """Give the manifest; raise WeightsError if no source has it yet."""
         name = f'{model}@{version}'
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._wait_s(name, near)
-        while loop.time() < until:
-            self._heard.clear()
-            found = await self._of_peers(self._holding(name), name)
+        deadline = loop.time() + self._origin_wait_s(name, near)
+        while loop.time() < deadline:
+            self._holder_added.clear()
+            found = await self._from_peers(self._shuffled_holders(name), name)
             if found is not None:
                 return found
-            left_s = until - loop.time()
-            await happened(self._heard, min(_AGAIN_S, max(0, left_s)))
-        found = await self._of_origin(model, version)
+            left_s = deadline - loop.time()
+            await happened(self._holder_added, min(_RETRY_S, max(0, left_s)))
+        found = await self._from_origin(model, version)
         if found is None:
-            paired = partners(name)
-            count = min(len(paired), _ASKED_BLINDLY)
-            untold = self._rng.sample(paired, count)
-            peers = [*self._holding(name), *untold]
-            found = await self._of_peers(list(dict.fromkeys(peers)), name)
+            all_partners = partners(name)
+            count = min(len(all_partners), _UNREPORTED_PEERS)
+            unreported = self._rng.sample(all_partners, count)
+            peers = [*self._shuffled_holders(name), *unreported]
+            found = await self._from_peers(list(dict.fromkeys(peers)), name)
         if found is None:
             raise WeightsError('manifest-not-found', name)
         return found
 
-    async def _of_origin(
+    async def _from_origin(
         self,
         model: str,
         version: int,
@@ -143,25 +144,25 @@
         self._failures = 0
         return found
 
-    def _wait_s(self, name: str, near: set[str]) -> float:
-        """Give after how long to ask the origin: later where it has failed."""
-        wait_s = turn_s(rank(self._me, near, name))
+    def _origin_wait_s(self, name: str, near: set[str]) -> float:
+        """Give the seconds until a request to the origin; failures add to it."""
+        wait_s = origin_wait_s(rank(self._me, near, name))
         if not self._failures:
             return wait_s
         return wait_s + pause_s(
             self._failures,
             self._rng,
-            _AWAY_FIRST_S,
-            _AWAY_MOST_S,
-            _AWAY_LEAST_SHARE,
+            _BACKOFF_FIRST_S,
+            _BACKOFF_MAX_S,
+            _BACKOFF_MIN_SHARE,
         )
 
-    def _holding(self, name: str) -> list[str]:
+    def _shuffled_holders(self, name: str) -> list[str]:
         holders = list(self._holders.get(name, ()))
         self._rng.shuffle(holders)
         return holders
 
-    async def _of_peers(
+    async def _from_peers(
         self,
         hosts: list[str],
         name: str,
@@ -176,14 +177,14 @@
                 )
             except LinnetwoodError as exc:
                 log(Event.PEER_UNREACHABLE, peer=host, code=exc.code)
-                self._gone(name, host)
+                self._remove_holder(name, host)
                 continue
             if encoded:
                 self._failures = 0
                 return chunks.parse_manifest(encoded)
         return None
 
-    def _gone(self, name: str, host: str) -> None:
+    def _remove_holder(self, name: str, host: str) -> None:
         holders = self._holders.get(name, [])
         if host in holders:
             holders.remove(host)
--- a/src/linnetwood/weights/orders.py
+++ b/src/linnetwood/weights/orders.py
@@ -14,12 +14,12 @@
 FENCE_STEP = 1024 * 1024
 _TIMEOUT_S = 30.0
 _OK = 200
-_STALE = 409
+_CONFLICT = 409
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What the engine says of itself."""
+    """The state that the engine reports."""
 
     fence: int
     serving: str
@@ -37,79 +37,79 @@
 
 
 class OrderClient(Protocol):
-    """Ask the engine and order it."""
+    """Query the engine and send orders to it."""
 
     async def status(self) -> EngineStatus:
-        """Ask what serves and which fence stands; raise OrderError."""
+        """Get the served version and current fence; may raise OrderError."""
 
     async def stage(self, manifest: str, index: int, chunk: bytes) -> None:
-        """Hand a checked chunk over; raise OrderError."""
+        """Send a verified chunk; may raise OrderError."""
 
     async def load(self, order: LoadOrder) -> None:
         """Order a load; raise OrderError unless it is confirmed exactly."""
 
 
-def next_fence(revision: int, standing: int) -> int:
-    """Give a number above every order given before under this revision."""
-    return max(revision * FENCE_STEP, standing + 1)
+def next_fence(revision: int, current: int) -> int:
+    """Give a fence above those of all earlier orders of this revision."""
+    return max(revision * FENCE_STEP, current + 1)
 
 
 def chunks_digest(manifest: Manifest) -> str:
-    """Give the digest by which the engine checks its staged chunks."""
+    """Give the digest that the engine compares with its staged chunks."""
     return hashlib.sha256(b''.join(manifest.digests)).hexdigest()
 
 
 class HttpOrderClient:
-    """Order an engine over HTTP."""
+    """Send orders to an engine over HTTP."""
 
     def __init__(self, url: str, client: AsyncHTTPClient) -> None:
-        """Reach the engine at a URL."""
+        """Use the engine at a URL."""
         self._url = url.rstrip('/')
         self._client = client
 
     async def status(self) -> EngineStatus:
-        """Ask the engine."""
+        """Get the engine's status."""
         reply = await self._fetch(HTTPRequest(f'{self._url}/status'))
-        said = _object(reply)
+        answer = _parse_object(reply)
         return EngineStatus(
-            int(str(said.get('fence', 0))),
-            str(said.get('serving', '')),
-            str(said.get('manifest', '')),
+            int(str(answer.get('fence', 0))),
+            str(answer.get('serving', '')),
+            str(answer.get('manifest', '')),
         )
 
     async def stage(self, manifest: str, index: int, chunk: bytes) -> None:
-        """Hand a chunk over."""
+        """Send a chunk."""
         url = f'{self._url}/stage/{manifest}/{index}'
         await self._fetch(HTTPRequest(url, method='PUT', body=chunk))
 
     async def load(self, order: LoadOrder) -> None:
-        """Order a load and check the confirmation."""
+        """Order a load and verify the confirmation."""
         body = json.dumps(dataclasses.asdict(order))
         url = f'{self._url}/orders'
-        said = _object(
+        answer = _parse_object(
             await self._fetch(HTTPRequest(url, method='POST', body=body)),
         )
-        if (said.get('serving'), said.get('fence')) != (
+        if (answer.get('serving'), answer.get('fence')) != (
             order.serving,
             order.fence,
         ):
-            raise OrderError('order-not-confirmed', f'engine said {said}')
+            raise OrderError('order-not-confirmed', f'engine answered {answer}')
 
     async def _fetch(self, req: HTTPRequest) -> HTTPResponse:
         req.request_timeout = _TIMEOUT_S
         reply = await fetch(self._client, req)
-        if reply.code == _STALE:
+        if reply.code == _CONFLICT:
             raise OrderError('stale-fence', reply.body.decode())
         if reply.code != _OK:
             raise OrderError('engine-unreachable', str(reply.error))
         return reply
 
 
-def _object(reply: HTTPResponse) -> dict[str, object]:
+def _parse_object(reply: HTTPResponse) -> dict[str, object]:
     try:
-        said = json.loads(reply.body)
+        answer = json.loads(reply.body)
     except ValueError as exc:
         raise OrderError('engine-bad-answer', str(exc)) from exc
-    if not isinstance(said, dict):
-        raise OrderError('engine-bad-answer', type(said).__name__)
-    return said
+    if not isinstance(answer, dict):
+        raise OrderError('engine-bad-answer', type(answer).__name__)
+    return answer
--- a/src/linnetwood/weights/origin.py
+++ b/src/linnetwood/weights/origin.py
@@ -1,4 +1,4 @@
-"""The weight store behind the single origin link."""
+"""Read weights from the origin, which all VMs reach over one link."""
 
 from tornado.httpclient import AsyncHTTPClient, HTTPRequest
 
@@ -14,7 +14,7 @@
     def __init__(
         self, url: str, timeout_s: float, client: AsyncHTTPClient
     ) -> None:
-        """Reach the store at a URL."""
+        """Use the store at a URL."""
         self._url = url.rstrip('/')
         self._timeout_s = timeout_s
         self._client = client
--- a/src/linnetwood/weights/silentpeers.py
+++ b/src/linnetwood/weights/silentpeers.py
@@ -1,50 +1,52 @@
-"""Tell which chunks only silent neighbours hold; no I/O or clock inside.
+"""Find the chunks that only silent neighbours hold; no I/O or clock inside.
 
 Load pattern: a zone is cut off with the origin in it, 3 to 5 s after a version
-was named. Neighbours behind the cut hold what the zone lacks, or were to read
-it. Asked one after the other, each costs 0.8 s; the cut heals before all were.
+was published. Neighbours outside hold the chunks that the zone is missing, or
+were due to read them. Requests to one after the other cost 0.8 s each; the zone
+is connected again before all of them have timed out.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
 from typing import Protocol
 
-# Whoever brings chunks here tells what it holds more often than this.
-_UNHEARD_S = 0.5
+# Peers that send chunks report what they hold more often than this.
+_MESSAGE_TIMEOUT_S = 0.5
 
 
 class Holder(Protocol):
-    """A neighbour, by what it is known to hold."""
+    """A neighbour with the bitmap of the chunks that it reported."""
 
     held: int
 
 
 class SilentPeers:
-    """Hold of whom nothing is heard since a neighbour fell silent."""
+    """Hold the neighbours without a message since one became silent."""
 
-    __slots__ = ('_silent', '_since', '_unheard')
+    __slots__ = ('_silent', '_since', '_without_message')
 
     def __init__(self) -> None:
-        """Miss nobody."""
-        # Those that left a fetch without an answer, and all others since then.
+        """Start with no silent neighbour."""
+        # Neighbours that left a fetch unanswered, and all that have sent no
+        # message since then.
         self._silent: set[str] = set()
-        self._unheard: set[str] = set()
+        self._without_message: set[str] = set()
         self._since = float()
 
     def record_timeout(
-        self, vm: str, everybody: Iterable[str], now: float
+        self, vm: str, all_vms: Iterable[str], now: float
     ) -> None:
-        """Note that one fell silent: are the others still there?"""
-        if vm not in self._unheard:
+        """Record a silent neighbour; others are in doubt until a message."""
+        if vm not in self._without_message:
             self._since = now
-            self._unheard = set(everybody)
+            self._without_message = set(all_vms)
         self._silent.add(vm)
 
     def record_message(self, vm: str) -> None:
-        """Note that one is there, or that it is a neighbour no more."""
-        self._unheard.discard(vm)
+        """Record a message of a neighbour, or that it is none any more."""
+        self._without_message.discard(vm)
         self._silent.discard(vm)
         if not self._silent:
-            self._unheard.clear()
+            self._without_message.clear()
 
     def unreachable_chunks(
         self,
@@ -53,19 +55,19 @@
         every: int,
         turns_over_at: float,
     ) -> Iterator[tuple[int, float]]:
-        """Yield chunks that no neighbour in reach can bring, and since when.
+        """Yield bitmaps of unreachable chunks, each with the time since when.
 
-        First those that only the unheard hold, then what none is known to
-        hold, once all turns to read it are over.
+        First the chunks that only neighbours without a message hold, then those
+        that none is known to hold, once all turns to read them are over.
         """
-        since = self._since + _UNHEARD_S
+        since = self._since + _MESSAGE_TIMEOUT_S
         if not self._silent or now < since:
             return
         known = 0
-        in_reach = 0
-        for vm, one in neighbours.items():
-            known |= one.held
-            if vm not in self._unheard:
-                in_reach |= one.held
-        yield known & ~in_reach, since
+        reachable = 0
+        for vm, neighbour in neighbours.items():
+            known |= neighbour.held
+            if vm not in self._without_message:
+                reachable |= neighbour.held
+        yield known & ~reachable, since
         yield every & ~known, max(since, turns_over_at)
--- a/src/linnetwood/weights/staging.py
+++ b/src/linnetwood/weights/staging.py
@@ -1,4 +1,4 @@
-"""Hand checked chunks over to the engine ahead of a load."""
+"""Stage verified chunks at the engine before a load."""
 
 import asyncio
 
@@ -10,9 +10,9 @@
 
 
 class Staging:
-    """Keep account of which chunks the engine has taken for one download.
+    """Track which chunks of one download the engine has accepted.
 
-    The queue holds indices only, so that no chunk is in memory twice.
+    The queue holds only indices, so that no chunk is in memory twice.
     """
 
     def __init__(
@@ -21,36 +21,36 @@
         store: chunks.ChunkStore,
         download: Download,
     ) -> None:
-        """Begin with the chunks that are held already."""
+        """Start with the chunks that are held already."""
         self._orders = orders
         self._store = store
         self._download = download
-        self._taken: set[int] = set()
-        self._waiting: asyncio.Queue[int] = asyncio.Queue()
+        self._staged: set[int] = set()
+        self._queue: asyncio.Queue[int] = asyncio.Queue()
         self.restart()
 
     @property
     def complete(self) -> bool:
-        """Tell whether the engine has taken every chunk."""
-        return len(self._taken) == self._download.swarm.count
+        """Tell whether the engine has accepted every chunk."""
+        return len(self._staged) == self._download.swarm.count
 
     def add(self, index: int) -> None:
-        """Hand a chunk over with the next batch."""
-        self._waiting.put_nowait(index)
+        """Queue a chunk for the next batch."""
+        self._queue.put_nowait(index)
 
     def restart(self) -> None:
-        """Hand everything over once more: the engine may hold nothing."""
-        self._taken = set()
-        self._waiting = asyncio.Queue()
+        """Stage all chunks again: the engine may hold none."""
+        self._staged = set()
+        self._queue = asyncio.Queue()
         for index in chunks.indices(self._download.swarm.held):
             self.add(index)
 
     async def stage_queued(self) -> bool:
-        """Hand over what waits; tell whether the engine took any."""
-        before = len(self._taken)
-        while not self._waiting.empty():
-            index = self._waiting.get_nowait()
-            if index in self._taken:
+        """Stage the queued chunks; tell whether the engine accepted any."""
+        before = len(self._staged)
+        while not self._queue.empty():
+            index = self._queue.get_nowait()
+            if index in self._staged:
                 continue
             try:
                 await self._stage(index)
@@ -58,13 +58,14 @@
                 log(Event.ENGINE_UNREACHABLE, detail=str(exc))
                 self.add(index)
                 break
-        return len(self._taken) > before
+        return len(self._staged) > before
 
     async def _stage(self, index: int) -> None:
-        taken = self._taken
+        staged = self._staged
         chunk = self._store.chunk(self._download.manifest, index)
         if chunk is None:
             return
         await self._orders.stage(self._download.name, index, chunk)
-        # A set of an earlier beginning must not vouch for a later one.
-        taken.add(index)
+        # If staging was restarted meanwhile, this adds to the discarded set:
+        # the chunk must not count for the new one.
+        staged.add(index)
--- a/src/linnetwood/weights/transfer.py
+++ b/src/linnetwood/weights/transfer.py
@@ -1,4 +1,4 @@
-"""Bring a version's chunks here, as the swarm decides."""
+"""Download a version's chunks as the swarm plans it."""
 
 import asyncio
 import dataclasses
@@ -22,7 +22,7 @@
 from linnetwood.wire.connections import Address
 from linnetwood.wire.links import Link
 
-_WAKE_S = 0.25
+_MAX_PLAN_INTERVAL_S = 0.25
 _PLAN_PAUSE_S = 0.01
 
 
@@ -30,12 +30,12 @@
     """Read manifests and chunks from the origin."""
 
     async def read(self, manifest: str, index: int) -> bytes:
-        """Read one chunk; raise WeightsError when it can't be had."""
+        """Read one chunk; raise WeightsError if that fails."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tools:
-    """What a download works with."""
+    """The collaborators and settings of a download."""
 
     me: str
     store: chunks.ChunkStore
@@ -52,7 +52,7 @@
 
 
 class Download:
-    """Bring one manifest's chunks here; one task owns all of its state."""
+    """Download one manifest's chunks; one task owns all of its state."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         cfg: SwarmOptions,
         far: DueTimes | None = None,
     ) -> None:
-        """Start from what the store holds already."""
+        """Start from the chunks that the store holds already."""
         self.name = name
         self.manifest = manifest
         self.swarm = Swarm(
@@ -84,14 +84,14 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to fetch."""
+        """Start fetching."""
         self._tools.uploads.manifests[self.name] = self.manifest
         self._tasks = [
             asyncio.create_task(self._run()),
         ]
 
     async def close(self) -> None:
-        """Stop every fetch."""
+        """Cancel every fetch."""
         tasks = [*self._tasks, *self._fetches.values()]
         for task in tasks:
             task.cancel()
@@ -99,11 +99,11 @@
         self.swarm.close()
 
     def set_near(self, vms: Collection[str]) -> None:
-        """Set which neighbours cost little to ask."""
+        """Set the neighbours that are near; requests to them cost little."""
         self.swarm.mark_nearby(vms)
 
     def set_neighbours(self, members: list[Member]) -> None:
-        """Set whom to exchange chunks with."""
+        """Set the peers to exchange chunks with."""
         wanted = {member.vm: (member.host, member.port) for member in members}
         for vm in set(self._addresses) - set(wanted):
             self.swarm.remove_peer(vm)
@@ -113,7 +113,7 @@
         self._wake.set()
 
     def record_notice(self, notice: HeldNotice) -> None:
-        """Take in what a peer says it holds."""
+        """Record the chunks that a peer reports to hold."""
         if notice.sender not in self._addresses:
             return
         held = chunks.unpack_bitmap(notice.held, self.swarm.count)
@@ -122,23 +122,23 @@
 
     async def _run(self) -> None:
         while not self.swarm.complete:
-            # Notices come in crowds; one plan serves them all.
+            # Notices arrive in bursts; one plan covers a whole burst.
             await asyncio.sleep(_PLAN_PAUSE_S)
             self._wake.clear()
             now = self._tools.clock.now()
-            heard_at = self._tools.fetcher.last_received_at()
-            for index in self.swarm.expired(now, heard_at):
-                self._give_up(index, now)
+            received_at = self._tools.fetcher.last_received_at()
+            for index in self.swarm.expired(now, received_at):
+                self._time_out(index, now)
             for fetch in self.swarm.plan(now):
-                self._begin(fetch)
-            await happened(self._wake, _WAKE_S)
+                self._start_fetch(fetch)
+            await happened(self._wake, _MAX_PLAN_INTERVAL_S)
 
-    def _begin(self, fetch: Fetch) -> None:
+    def _start_fetch(self, fetch: Fetch) -> None:
         task = asyncio.create_task(self._fetch(fetch))
         self._fetches[fetch.index] = task
         task.add_done_callback(lambda _: self._wake.set())
 
-    def _give_up(self, index: int, now: float) -> None:
+    def _time_out(self, index: int, now: float) -> None:
         task = self._fetches.pop(index, None)
         if task is not None:
             task.cancel()
@@ -156,9 +156,9 @@
     async def _fetch(self, fetch: Fetch) -> None:
         try:
             if fetch.source == ORIGIN:
-                chunk = await self._from_origin(fetch.index)
+                chunk = await self._fetch_from_origin(fetch.index)
             else:
-                chunk = await self._from_peer(fetch)
+                chunk = await self._fetch_from_peer(fetch)
         except LinnetwoodError as exc:
             self.swarm.record_failure(fetch.index, fetch.source)
             if fetch.source == ORIGIN:
@@ -170,7 +170,7 @@
         else:
             self.swarm.record_failure(fetch.index, fetch.source)
 
-    async def _from_origin(self, index: int) -> bytes:
+    async def _fetch_from_origin(self, index: int) -> bytes:
         if self.swarm.policy.takes_over(index):
             log(Event.ORIGIN_TAKEN_OVER, manifest=self.name, index=index)
         chunk = await self._tools.origin.read(self.name, index)
@@ -180,7 +180,7 @@
         self._tools.metrics.count(Metric.ORIGIN_BYTES, len(chunk))
         return chunk
 
-    async def _from_peer(self, fetch: Fetch) -> bytes:
+    async def _fetch_from_peer(self, fetch: Fetch) -> bytes:
         address = self._addresses.get(fetch.source)
         if address is None:
             raise WireError('no-neighbour', fetch.source)
@@ -189,14 +189,14 @@
             address,
             self.name,
             fetch.index,
-            lambda: self._flows(fetch),
+            lambda: self._record_first_byte(fetch),
         )
         held = chunks.unpack_bitmap(reply.held, self.swarm.count)
         self.swarm.update_peer(fetch.source, held, reply.queued)
         self._tools.counters.peer_bytes += len(chunk)
         return chunk
 
-    def _flows(self, fetch: Fetch) -> None:
+    def _record_first_byte(self, fetch: Fetch) -> None:
         now = self._tools.clock.now()
         self.swarm.record_first_byte(fetch.index, fetch.source, now)
 
