--- a/src/linnetwood/weights/engine.py
+++ b/src/linnetwood/weights/engine.py
@@ -53,7 +53,7 @@
     async def activate(
         self, model: str, version: int, orders: int
     ) -> OrderResult:
-        """Order it to serve the staged version if it took orders before."""
+        """Order it to serve the staged version if its order count matches."""
 
 
 class Origin(Protocol):
--- a/src/linnetwood/weights/manifests.py
+++ b/src/linnetwood/weights/manifests.py
@@ -145,7 +145,7 @@
         return found
 
     def _origin_wait_s(self, name: str, near: set[str]) -> float:
-        """Give the seconds until a request to the origin; failures add to it."""
+        """Give the seconds until a request to the origin, more if it failed."""
         wait_s = origin_wait_s(rank(self._me, near, name))
         if not self._failures:
             return wait_s
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -1,6 +1,7 @@
-"""A manifest that everybody needs at once is read from the origin by a few.
+"""A manifest that all VMs need at once is read from the origin by a few.
 
-Load pattern: a version is named, and all VMs of five zones begin. Virtual time.
+Load pattern: a version is published, and all VMs of 5 zones start to download.
+The tests run in virtual time.
 """
 
 import asyncio
@@ -16,24 +17,24 @@
 
 ZONES = 5
 VMS = 100
-# One reading takes so long where as many as this are answered together.
+# How long a read takes while all these reads are answered together.
 READ_S = 0.05
-WORD_S = 0.15
-AIM = ('m', 2)
+NOTICE_S = 0.15
+MODEL_VERSION = ('m', 2)
 NAME = 'm@2'
 
 
 class CountedOrigin:
-    """Answer so many at a time, and turn the others away."""
+    """Count the manifest reads; fail them until the end of an outage."""
 
     def __init__(self) -> None:
-        self.asked = 0
-        self.away_until = float()
+        self.reads = 0
+        self.unreachable_until = float()
 
     async def manifest(self, model: str, version: int) -> Manifest:
-        self.asked += 1
+        self.reads += 1
         await asyncio.sleep(READ_S)
-        if asyncio.get_running_loop().time() < self.away_until:
+        if asyncio.get_running_loop().time() < self.unreachable_until:
             raise WeightsError('no-answer')
         return manifest(version)
 
@@ -42,14 +43,14 @@
 
 
 class Fleet:
-    """VMs that ask each other and the origin."""
+    """VMs that request the manifest from each other and the origin."""
 
     def __init__(self) -> None:
         self.origin = CountedOrigin()
-        self.zones = {f'vm-{one}': one % ZONES for one in range(VMS)}
+        self.zones = {f'vm-{number}': number % ZONES for number in range(VMS)}
         self.held: set[str] = set()
-        self.at: dict[str, float] = {}
-        self.finding = {
+        self.found_at: dict[str, float] = {}
+        self.finders = {
             host: ManifestFinder(host, self, self.origin, 7700, Random(host))
             for host in self.zones
         }
@@ -61,7 +62,7 @@
         name: str,
         index: int,
     ) -> tuple[ChunkReply, bytes]:
-        """Give a holder's manifest."""
+        """Give the manifest if the peer holds it."""
         await asyncio.sleep(READ_S)
         encoded = manifest(2).encode() if vm in self.held else b''
         return ChunkReply(manifest=name, index=index), encoded
@@ -69,56 +70,60 @@
     def near(self, host: str) -> set[str]:
         """Give the VMs of a zone."""
         zone = self.zones[host]
-        return {one for one, place in self.zones.items() if place == zone}
+        return {vm for vm, other in self.zones.items() if other == zone}
 
     async def find(self, host: str) -> None:
-        """Find it as a VM does, which asks again after a pause."""
+        """Find the manifest as a VM does, which retries after a pause."""
         loop = asyncio.get_running_loop()
         while True:
             near = self.near(host)
             try:
-                await self.finding[host].find(*AIM, near, lambda _: [])
+                await self.finders[host].find(
+                    *MODEL_VERSION, near, lambda _: []
+                )
             except WeightsError:
                 await asyncio.sleep(0.3)
                 continue
             break
         self.held.add(host)
-        self.at[host] = loop.time()
-        await asyncio.sleep(WORD_S)
-        for one in near:
-            self.finding[one].record_holder(NAME, host)
-
-    async def all_find(self, away_s: float = 0) -> None:
-        """Let all begin at once."""
-        self.origin.away_until = asyncio.get_running_loop().time() + away_s
+        self.found_at[host] = loop.time()
+        await asyncio.sleep(NOTICE_S)
+        for vm in near:
+            self.finders[vm].record_holder(NAME, host)
+
+    async def find_all(self, outage_s: float = 0) -> None:
+        """Start all VMs at the same time."""
+        self.origin.unreachable_until = (
+            asyncio.get_running_loop().time() + outage_s
+        )
         await asyncio.gather(*map(self.find, self.zones))
 
 
-def played(away_s: float = 0) -> tuple[int, float]:
-    """Give how often the origin was asked, and when the last VM had it."""
+def run_fleet(outage_s: float = 0) -> tuple[int, float]:
+    """Give the count of origin reads, and when the last VM had it."""
 
     async def play() -> tuple[int, float]:
         fleet = Fleet()
-        await fleet.all_find(away_s)
-        return fleet.origin.asked, max(fleet.at.values())
+        await fleet.find_all(outage_s)
+        return fleet.origin.reads, max(fleet.found_at.values())
 
     return virtual.run(play())
 
 
 class ManifestsTest(unittest.TestCase):
-    """Let a hundred VMs begin in the same moment."""
+    """Start 100 VMs at the same moment."""
 
-    def test_few_ask_the_origin(self) -> None:
-        """At most four of the twenty of a zone; nobody waits for a second."""
-        asked, last_s = played()
-        self.assertLessEqual(asked, 4 * ZONES)
+    def test_few_read_from_the_origin(self) -> None:
+        """At most 4 of the 20 VMs of a zone do; no VM waits for 1 s."""
+        reads, last_s = run_fleet()
+        self.assertLessEqual(reads, 4 * ZONES)
         self.assertLess(last_s, 1)
 
-    def test_an_origin_that_is_away(self) -> None:
-        """Found soon after its return; each VM asks less than once a second."""
-        asked, last_s = played(away_s=5)
+    def test_an_unreachable_origin(self) -> None:
+        """Each VM retries less than once a second and finds it after that."""
+        reads, last_s = run_fleet(outage_s=5)
         self.assertLess(last_s, 7)
-        self.assertLess(asked / 5, VMS)
+        self.assertLess(reads / 5, VMS)
 
 
 if __name__ == '__main__':
--- a/tests/test_silent_peers.py
+++ b/tests/test_silent_peers.py
@@ -1,4 +1,4 @@
-"""A peer that connects and falls silent holds up nobody's manifest."""
+"""A peer that becomes silent after connecting delays no manifest."""
 
 import asyncio
 import unittest
@@ -18,17 +18,17 @@
 from tests.test_slow_links import trickle
 
 SILENT = '127.0.0.2'
-HALF = '127.0.0.3'
+HALF_SENT = '127.0.0.3'
 SLOW = '127.0.0.4'
 AIM = Aim('m', 2)
 WANTED = manifest(AIM.version)
 NAME = chunks.digest_name(WANTED.encode())
 SLOW_S = 3
-# Ends what hangs; silence is noticed long before.
+# Ends a hanging test; silent peers are detected long before.
 GUARD_S = 12
 
 
-def sent(name: str) -> bytes:
+def packed_answer(name: str) -> bytes:
     """Give the answer to a request for the manifest of this name."""
     reply = ChunkReply(
         manifest=name,
@@ -44,26 +44,28 @@
 
 
 class Peers:
-    """Stand-ins at one port: silent, silent half-way, and slow."""
+    """Stand-ins on one port: silent, silent after half, and slow."""
 
     def __init__(self, name: str) -> None:
-        self._octets = sent(name)
+        self._octets = packed_answer(name)
         self._serving: set[asyncio.Task[None] | None] = set()
 
     async def start(self) -> int:
         first = await asyncio.start_server(self._accept, SILENT, 0)
         port = int(first.sockets[0].getsockname()[1])
-        others = await asyncio.start_server(self._accept, (HALF, SLOW), port)
+        others = await asyncio.start_server(
+            self._accept, (HALF_SENT, SLOW), port
+        )
         self._servers = (first, others)
         return port
 
     async def close(self) -> None:
         for server in self._servers:
             server.close()
-        # The loop complains of any that it has to cancel at its end.
-        serving = [one for one in self._serving if one is not None]
-        for one in serving:
-            one.cancel()
+        # The loop warns of tasks that it has to cancel when it closes.
+        serving = [task for task in self._serving if task is not None]
+        for task in serving:
+            task.cancel()
         await asyncio.gather(*serving, return_exceptions=True)
 
     async def _accept(
@@ -91,14 +93,14 @@
         host = writer.get_extra_info('sockname')[0]
         if host == SLOW:
             await trickle(octets, SLOW_S, reader, writer)
-        elif host == HALF:
+        elif host == HALF_SENT:
             writer.write(octets[: len(octets) // 2])
         while await reader.read(len(octets)):
             await asyncio.sleep(0)
 
 
 class SilentPeersTest(unittest.IsolatedAsyncioTestCase):
-    """Ask peers for a manifest while the origin is away."""
+    """Request a manifest from peers while the origin is unreachable."""
 
     async def asyncSetUp(self) -> None:
         self.slot = Slot()
@@ -106,8 +108,8 @@
     async def asyncTearDown(self) -> None:
         await self.slot.agent.close()
 
-    async def test_next_peer_is_asked_for_the_manifest(self) -> None:
-        """Peers that fall silent are passed over, one that flows is not."""
+    async def test_manifest_is_requested_from_the_next_peer(self) -> None:
+        """Silent peers are skipped, a slow one that sends bytes is not."""
         peers = Peers(AIM.name)
         origin = FakeOrigin()
         origin.away = True
@@ -118,18 +120,18 @@
             await peers.start(),
             asyncio.Event().set,
         )
-        fetching.around.peers = {SILENT: 'z', HALF: 'z', SLOW: 'z'}
+        fetching.around.peers = {SILENT: 'z', HALF_SENT: 'z', SLOW: 'z'}
         async with asyncio.timeout(GUARD_S):
             found = await fetching._manifest(AIM)
         await fetching.close()
         await peers.close()
         self.assertEqual(found, WANTED)
 
-    async def test_holder_that_is_silent_is_left(self) -> None:
-        """The agent learns that it must ask elsewhere."""
+    async def test_silent_holder_is_abandoned(self) -> None:
+        """The agent gets an error, so that it requests from another holder."""
         peers = Peers(NAME)
         port = await peers.start()
-        expected = {SILENT: 'peer-silent', HALF: 'peer-silent', SLOW: ''}
+        expected = {SILENT: 'peer-silent', HALF_SENT: 'peer-silent', SLOW: ''}
         found = {}
         for host in expected:
             found[host] = await self.fault(host, port)
@@ -137,7 +139,7 @@
         self.assertEqual(found, expected)
 
     async def fault(self, host: str, port: int) -> str:
-        """Ask a holder for a manifest; give the code of what went wrong."""
+        """Request a manifest from a holder; give the error code or nothing."""
         agent = self.slot.agent
         holder = member(host, port=port)
         holder.host = host
@@ -149,7 +151,7 @@
         except LinnetwoodError as exc:
             return exc.code
         except TimeoutError:
-            return 'held up'
+            return 'timed out'
         return ''
 
 
