--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -1,4 +1,4 @@
-"""Bring the wanted version to this VM's engine, and let it serve."""
+"""Fetch the wanted version for this VM's engine and put it in service."""
 
 import asyncio
 import dataclasses
@@ -29,9 +29,9 @@
 from linnetwood.weights.swarmoptions import SwarmOptions
 from linnetwood.weights.transfer import Download, Tools
 
-_WAKE_S = 0.5
+_MAX_WAIT_S = 0.5
 _NOTICE_REFRESH_S = 0.5
-_MANIFEST_PAUSE_S = 0.03
+_MANIFEST_POLL_S = 0.03
 _TAKEOVER_BASE_S = 1.0
 
 
@@ -45,7 +45,7 @@
         orders: OrderClient,
         guard: Guard,
     ) -> None:
-        """Want nothing yet."""
+        """Start without a target."""
         self.download: Download | None = None
         self.target: Target | None = None
         self._tools = tools
@@ -54,24 +54,24 @@
         self._keeper = EngineController(gossip, orders, guard, tools.clock)
         self._configuration: Configuration | None = None
         self._wake = asyncio.Event()
-        self._changed = True
+        self._is_target_stale = True
         self._assigned: list[str] = []
         self._ring: list[str] = []
         self._staging: Staging | None = None
-        self._noticed = (0, float())
-        self._holders: dict[str, set[str]] = {}
+        self._last_notice = (0, float())
+        self._manifest_holders: dict[str, set[str]] = {}
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start the tasks and listen for gossip."""
         self._gossip.add_listener(self)
         self._tasks = [
             asyncio.create_task(self._run()),
-            asyncio.create_task(self._tell_held()),
+            asyncio.create_task(self._report_held()),
         ]
 
     async def close(self) -> None:
-        """Stop fetching; what the engine serves it goes on serving."""
+        """Stop fetching; the engine goes on serving its version."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -80,7 +80,7 @@
         self._tools.fetcher.close()
 
     def progress(self) -> TransferProgress:
-        """Tell how far the transfer is."""
+        """Give the wanted version and its chunks: held and in total."""
         download = self.download
         return TransferProgress(
             wanted=self.target.label if self.target else '',
@@ -89,31 +89,33 @@
         )
 
     def apply_config(self, configuration: Configuration) -> None:
-        """Take in a newer configuration."""
+        """Replace the configuration by a newer one."""
         self._configuration = configuration
         self._wake_up()
 
     def member_changed(self, member: Member) -> None:
-        """Work the target out again when the fleet changes."""
+        """Compute the target again when the fleet changes."""
         self._wake_up()
 
     def revision_seen(self, revision: int, source: Address) -> None:
-        """Trust what is known again after a pause, if nothing is newer."""
-        standing = self._configuration
-        if standing is None or revision <= standing.revision:
+        """Confirm the configuration after a pause, if a peer has none newer."""
+        current = self._configuration
+        if current is None or revision <= current.revision:
             self._keeper.pauses.confirm()
 
     def chunks_reported(self, notice: HeldNotice) -> None:
-        """Take in what a neighbour holds."""
+        """Record which chunks a neighbour holds."""
         if self.download is not None and self.download.name == notice.manifest:
             self.download.record_notice(notice)
         elif (
             self.target is not None and self.target.manifest == notice.manifest
         ):
-            self._holders.setdefault(notice.manifest, set()).add(notice.sender)
+            self._manifest_holders.setdefault(notice.manifest, set()).add(
+                notice.sender
+            )
 
     def _wake_up(self) -> None:
-        self._changed = True
+        self._is_target_stale = True
         self._wake.set()
 
     async def _run(self) -> None:
@@ -124,21 +126,21 @@
                 await self._step()
             except LinnetwoodError as exc:
                 log(Event.ORDER_REFUSED, code=exc.code, detail=exc.detail)
-            await happened(self._wake, _WAKE_S)
+            await happened(self._wake, _MAX_WAIT_S)
 
     async def _step(self) -> None:
-        if self._changed:
-            self._changed = False
-            await self._aim()
+        if self._is_target_stale:
+            self._is_target_stale = False
+            await self._update_target()
         if self.target is None:
             return
         if self._keeper.serves(self.target):
-            kept = await self._keeper.still_serves(self.target)
-            if not kept and self._staging is not None:
+            is_serving = await self._keeper.still_serves(self.target)
+            if not is_serving and self._staging is not None:
                 self._staging.restart()
             return
         if self.download is None:
-            await self._begin(self.target)
+            await self._begin_download(self.target)
         if self.download is None or not self.download.swarm.complete:
             return
         if self._staging is not None:
@@ -148,26 +150,30 @@
                 self._staging,
             )
 
-    async def _aim(self) -> None:
+    async def _update_target(self) -> None:
         if self._configuration is None:
             return
         members = list(self._gossip.members.values())
-        chosen = placement.assign_intents(
+        assignments = placement.assign_intents(
             self._configuration.deployment, members
         )
-        intent = chosen.get(self._gossip.own_record.vm)
-        target = self._target(intent)
+        intent = assignments.get(self._gossip.own_record.vm)
+        target = self._target_of(intent)
         if target != self.target:
-            await self._retarget(target)
-        assigned = [vm for vm, one in chosen.items() if one is intent]
+            await self._set_target(target)
+        assigned = [
+            vm
+            for vm, assigned_intent in assignments.items()
+            if assigned_intent is intent
+        ]
         if assigned != self._assigned and intent is not None:
             self._assigned = assigned
             deployment = self._configuration.deployment
             ring = placement.assigned_with_failed(deployment, members, intent)
             self._ring = sorted({*assigned, *ring})
-            self._meet_neighbours()
+            self._update_neighbours()
 
-    def _target(self, intent: Intent | None) -> Target | None:
+    def _target_of(self, intent: Intent | None) -> Target | None:
         if intent is None or self._configuration is None:
             return None
         deployment = self._configuration.deployment
@@ -175,15 +181,15 @@
         label = placement.version_label(intent.model, intent.version)
         return Target(label, manifest, intent)
 
-    async def _retarget(self, target: Target | None) -> None:
-        same = (
+    async def _set_target(self, target: Target | None) -> None:
+        same_version = (
             target is not None
             and self.target is not None
             and target.manifest == self.target.manifest
             and target.label == self.target.label
         )
         self.target = target
-        if same:
+        if same_version:
             return
         if self.download is not None:
             await self.download.close()
@@ -193,47 +199,47 @@
         if self._gossip.own_record.wanted:
             self._gossip.update_self(wanted='', held=0, total=0)
 
-    async def _begin(self, target: Target) -> None:
+    async def _begin_download(self, target: Target) -> None:
         if await self._keeper.adopt_if_served(target):
             return
-        manifest = await self._manifest(target)
+        manifest = await self._obtain_manifest(target)
         if manifest is None:
             return
         self.download = self._make_download(target, manifest)
-        self.download.on_chunk_kept = self._kept
+        self.download.on_chunk_kept = self._on_chunk_kept
         self._staging = Staging(
             self._orders,
             self._tools.store,
             self.download,
         )
-        self._meet_neighbours()
+        self._update_neighbours()
         self.download.start()
         log(Event.TRANSFER_STARTED, version=target.label)
 
-    async def _manifest(self, target: Target) -> chunks.Manifest | None:
-        known = self._tools.uploads.manifests.get(target.manifest)
-        if known is not None:
-            return known
+    async def _obtain_manifest(self, target: Target) -> chunks.Manifest | None:
+        cached = self._tools.uploads.manifests.get(target.manifest)
+        if cached is not None:
+            return cached
         ring = Ring(target.manifest, self._assigned)
         me = self._gossip.own_record.vm
         policy = SharedReading(
             me, ring, 0, swarm_options(self._tools.cfg, len(self._assigned), 1)
         )
-        started = self._tools.clock.now()
-        while self.target is target and not self._changed:
-            due = policy.due_at(chunks.MANIFEST_INDEX, started)
-            mine = due is not None and due <= self._tools.clock.now()
-            if mine or self._holders.get(target.manifest):
+        started_at = self._tools.clock.now()
+        while self.target is target and not self._is_target_stale:
+            due = policy.due_at(chunks.MANIFEST_INDEX, started_at)
+            is_due = due is not None and due <= self._tools.clock.now()
+            if is_due or self._manifest_holders.get(target.manifest):
                 try:
                     return await self._read_manifest(target)
                 except LinnetwoodError as exc:
                     log(Event.ORIGIN_UNREACHABLE, detail=str(exc))
-            await asyncio.sleep(_MANIFEST_PAUSE_S)
+            await asyncio.sleep(_MANIFEST_POLL_S)
         return None
 
     async def _read_manifest(self, target: Target) -> chunks.Manifest:
         name = target.manifest
-        holders = sorted(self._holders.get(name, set()))
+        holders = sorted(self._manifest_holders.get(name, set()))
         if holders:
             vm = self._tools.rng.choice(holders)
             member = self._gossip.members[vm]
@@ -257,7 +263,7 @@
             target.manifest,
             manifest,
             self._tools,
-            self._policy(target.manifest, manifest),
+            self._make_policy(target.manifest, manifest),
             swarm_options(
                 self._tools.cfg,
                 len(self._assigned),
@@ -265,7 +271,7 @@
             ),
         )
 
-    def _policy(
+    def _make_policy(
         self,
         name: str,
         manifest: chunks.Manifest,
@@ -286,7 +292,7 @@
 
     def _neighbour_members(self) -> list[Member]:
         me = self._gossip.own_record.vm
-        view = self._gossip.members
+        members = self._gossip.members
         manifest = self.target.manifest if self.target else ''
         chosen = neighbours(
             me,
@@ -294,43 +300,45 @@
             manifest,
             self._tools.cfg.neighbours,
         )
-        alive = set(self._assigned)
-        return [view[vm] for vm in chosen if vm in alive and vm in view]
+        assigned = set(self._assigned)
+        return [
+            members[vm] for vm in chosen if vm in assigned and vm in members
+        ]
 
-    def _meet_neighbours(self) -> None:
+    def _update_neighbours(self) -> None:
         download = self.download
         if download is None or self._tools.cfg.reading != 'shared':
             return
-        # Whoever is gone has no turn at the origin any more.
+        # VMs that have left the fleet lose their turns at the origin.
         swarm = download.swarm
         elapsed_s = self._tools.clock.now() - swarm.started_at
         before = Turns(swarm.policy.turns(), elapsed_s)
-        swarm.policy = self._policy(
+        swarm.policy = self._make_policy(
             download.name,
             download.manifest,
             before,
         )
         download.set_neighbours(self._neighbour_members())
 
-    def _kept(self, index: int, chunk: bytes) -> None:
+    def _on_chunk_kept(self, index: int, chunk: bytes) -> None:
         if self._staging is not None:
             self._staging.add(index)
         self._wake.set()
 
-    async def _tell_held(self) -> None:
+    async def _report_held(self) -> None:
         while True:
             await asyncio.sleep(self._tools.cfg.notice_every_s)
             if self.download is not None:
-                self._notice(self.download)
+                self._send_notice(self.download)
             if self._staging is not None and await self._staging.stage_queued():
                 self._wake.set()
 
-    def _notice(self, download: Download) -> None:
+    def _send_notice(self, download: Download) -> None:
         now = self._tools.clock.now()
-        held, told_at = self._noticed
-        if held == download.swarm.held and now - told_at < _NOTICE_REFRESH_S:
+        held, sent_at = self._last_notice
+        if held == download.swarm.held and now - sent_at < _NOTICE_REFRESH_S:
             return
-        self._noticed = (download.swarm.held, now)
+        self._last_notice = (download.swarm.held, now)
         notice = HeldNotice(
             sender=self._gossip.own_record.vm,
             manifest=download.name,
@@ -353,8 +361,8 @@
         if not self._tools.store.verify(download.manifest):
             raise WeightsError('whole-digest-differs', target.label)
         await self._keeper.leave_service()
-        if self._changed:
-            # What is wanted may be another version by now.
+        if self._is_target_stale:
+            # The wanted version may have changed while calls finished.
             return
         await self._load(target, download, staging)
         self._keeper.go_into_service(target, download.swarm.count)
@@ -370,18 +378,18 @@
         download: Download,
         staging: Staging,
     ) -> None:
-        standing = self._configuration
-        revision = standing.revision if standing else 0
+        current = self._configuration
+        revision = current.revision if current else 0
         try:
             await self._keeper.order(target, download.manifest, revision)
         except OrderError:
-            # The engine may have been started anew and hold nothing.
+            # The engine may have restarted and hold no chunks.
             staging.restart()
             raise
 
 
 def swarm_options(cfg: Transfer, vms: int, chunk_bytes: int) -> SwarmOptions:
-    """Size the windows of a transfer from fleet, chunk and rate."""
+    """Derive the limits of a transfer from fleet, chunk size and link rate."""
     link_rate = cfg.link_bytes_per_s or cfg.origin_bytes_per_s
     hops = math.log2(vms + 1) + cfg.window
     takeover_s = _TAKEOVER_BASE_S + hops * cfg.window * chunk_bytes / link_rate
--- a/src/linnetwood/weights/swarm.py
+++ b/src/linnetwood/weights/swarm.py
@@ -15,35 +15,37 @@
 from linnetwood.weights.versionplan import Brought
 
 ORIGIN = ''
-_SHUN_S = 60.0
-# About as long as the list needs to drop a VM that is gone (three heartbeats).
-_AVOID_S = 3.0
-# How long an origin that failed is left alone: about a chunk's time on a slow
-# link at first, at most what a version's bound can spare.
-_AWAY_FIRST_S = 0.1
-_AWAY_MOST_S = 0.8
-_AWAY_LEAST_SHARE = 0.5
-_FEWER_AFTER_FAILURE = 2
-# A peer is not silent while the own link may still be busy with what was asked
-# for: so many times what it takes, since flows don't share it evenly.
-_OWED_FACTOR = 2
+_BAD_CHUNK_BLOCK_S = 60.0
+# About the time that the list of VMs takes to drop one that is gone: 3
+# heartbeats.
+_SILENCE_BLOCK_S = 3.0
+# Pauses after failed reads from the origin. The first is about the time of one
+# chunk on a slow link; the longest is what a version's deadline can spare.
+_ORIGIN_PAUSE_FIRST_S = 0.1
+_ORIGIN_PAUSE_MAX_S = 0.8
+_ORIGIN_PAUSE_MIN_SHARE = 0.5
+_FAILED_WINDOW_DIVISOR = 2
+# A peer isn't silent while this VM's link may still be busy with the requested
+# chunks. Their expected time is multiplied by this factor, since flows don't
+# share the link evenly.
+_PATIENCE_FACTOR = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fetch:
-    """One chunk to fetch from a peer or, without a source, the origin."""
+    """One chunk to fetch from a peer; an empty source is the origin."""
 
     index: int
     source: str
 
 
 class Peer:
-    """What is known of one neighbour."""
+    """What is known of one neighbour; `held` is a bitmap of chunks."""
 
     __slots__ = ('blocked_until', 'held', 'is_remote', 'outstanding', 'queued')
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Start with nothing held and nothing requested."""
         self.is_remote = False
         self.held = 0
         self.queued = 0
@@ -52,23 +54,23 @@
 
 
 class PendingFetch:
-    """One fetch under way."""
+    """A fetch in progress."""
 
     __slots__ = ('flight', 'source')
 
     def __init__(self, source: str, flight: InFlightChunk) -> None:
-        """Keep where from, and what the link is to bring."""
+        """Keep the source, and the chunk's entry in the link estimate."""
         self.source = source
         self.flight = flight
 
     @property
     def requested_at(self) -> float:
-        """Give since when."""
+        """Give the time of the request."""
         return self.flight.since
 
 
 class Swarm:
-    """Hold the state of fetching one manifest's chunks."""
+    """Schedule the fetches of one manifest's chunks."""
 
     def __init__(
         self,
@@ -78,16 +80,16 @@
         policy: OriginPolicy,
         rng: Random,
         now: float,
-        far: DueTimes | None = None,
+        remote_policy: DueTimes | None = None,
         inbound_link: InboundLink | None = None,
     ) -> None:
-        """Start with what is held already.
+        """Start from a bitmap of the chunks that are already held.
 
-        With a policy for far neighbours, a chunk is asked of them only when
-        it is this VM's turn among those near it.
+        With a policy for remote neighbours, a chunk is requested from them only
+        when it is this VM's turn among the nearby ones.
         """
         self._inbound_link = inbound_link or InboundLink()
-        self._far = far
+        self._remote_policy = remote_policy
         self.count = count
         self.held = held
         self.peers: dict[str, Peer] = {}
@@ -98,20 +100,21 @@
         self._rng = rng
         self._origin_failures = 0
         self._origin_failed_at: float | None = None
-        # Since it failed: when it answered, and when others were seen to read.
+        # Since the last failure: when the origin answered this VM, and when
+        # other VMs were found to have read from it.
         self._origin_answered_at: float | None = None
         self._others_read_at: float | None = None
-        self._known_count = 0
-        self._origin_free_at = now
-        self._rarity = [0 for _ in range(count)]
-        # Each VM goes through what it may read in an order of its own: those
-        # that may read the same chunks then seldom read the same one.
-        self._order = rng.sample(range(count), count)
-        self._peers_next = False
+        self._available_at_failure = 0
+        self._origin_retry_at = now
+        self._holder_counts = [0 for _ in range(count)]
+        # Each VM reads in its own random order, so that VMs which may read the
+        # same chunks seldom read the same one at the same time.
+        self._read_order = rng.sample(range(count), count)
+        self._peers_first = False
         self._silent_peers = SilentPeers()
         turns_s = count * cfg.chunk_origin_s + TAKERS * cfg.takeover_s
-        self._turns_over_at = now + turns_s
-        # While another version comes first, only the origin is asked.
+        self._turns_end_at = now + turns_s
+        # Set while another version has priority: peers get no requests then.
         self.origin_only = False
 
     @property
@@ -121,260 +124,268 @@
 
     @property
     def available(self) -> int:
-        """Give the bitmap of chunks that are held here or by a neighbour."""
-        found = self.held
+        """Give the bitmap of chunks that this VM or a neighbour holds."""
+        bitmap = self.held
         for peer in self.peers.values():
-            found |= peer.held
-        return found
+            bitmap |= peer.held
+        return bitmap
 
     def add_peer(self, vm: str) -> Peer:
-        """Give the record of a neighbour, new if need be."""
+        """Give the record of a neighbour; create it if it is new."""
         return self.peers.setdefault(vm, Peer())
 
     def mark_nearby(self, vms: Collection[str]) -> None:
-        """Note which neighbours are near; the others count as far."""
+        """Mark the given neighbours as nearby and all others as remote."""
         for vm, peer in self.peers.items():
             peer.is_remote = vm not in vms
 
-    def set_policies(self, policy: OriginPolicy, far: DueTimes | None) -> None:
-        """Follow new turns: the fleet has changed."""
+    def set_policies(
+        self, policy: OriginPolicy, remote_policy: DueTimes | None
+    ) -> None:
+        """Replace the policies after a change of the fleet."""
         self.policy = policy
-        self._far = far
+        self._remote_policy = remote_policy
 
     def remove_peer(self, vm: str) -> None:
-        """Forget a neighbour that is gone, and what was asked of it.
+        """Forget a neighbour that is gone, and the requests sent to it.
 
-        What it had sent by then still comes.
+        Bytes that it has already sent still arrive and occupy the link.
         """
         self._silent_peers.record_message(vm)
         peer = self.peers.pop(vm, None)
         if peer is not None:
-            self._count(peer.held, -1)
+            self._count_holders(peer.held, -1)
         for index, pending in list(self.pending.items()):
             if pending.source == vm:
                 self._inbound_link.record_abandoned(pending.flight)
-                self._settle(index)
+                self._finish_fetch(index)
 
     def update_peer(self, vm: str, held: int, queued: int) -> None:
-        """Note what a neighbour holds and how many wait on it.
+        """Record a neighbour's bitmap of chunks and the length of its queue.
 
-        What comes late from a neighbour that was parted from is ignored: it
-        must not be asked any more.
+        A late report of a removed neighbour is ignored, since nothing may be
+        requested from it any more.
         """
         peer = self.peers.get(vm)
         if peer is None:
             return
-        self._count(held & ~peer.held, 1)
+        self._count_holders(held & ~peer.held, 1)
         peer.held |= held
         peer.queued = queued
         self._silent_peers.record_message(vm)
 
     def record_first_byte(self, index: int, source: str, now: float) -> None:
-        """Note the first byte of what was asked for."""
+        """Record that the first byte of a requested chunk arrived."""
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
             self._inbound_link.record_first_byte(pending.flight, now)
 
     def record_chunk(self, index: int, source: str) -> bool:
-        """Note a checked chunk; tell whether it was new.
+        """Record a verified chunk; tell whether it was new.
 
-        What comes late from one that was left is not what another was asked
-        for: that may still come.
+        A late chunk from a source that was given up doesn't end the request
+        that another source received for it: that chunk may still arrive.
         """
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
             self._inbound_link.record_received(pending.flight)
         elif pending is not None:
             self._inbound_link.record_abandoned(pending.flight)
-        self._settle(index)
+        self._finish_fetch(index)
         bit = 1 << index
-        fresh = not self.held & bit
+        is_new = not self.held & bit
         self.held |= bit
-        return fresh
+        return is_new
 
     def record_failure(self, index: int, source: str) -> None:
-        """Note a fetch that brought nothing."""
+        """Record that a fetch ended without a chunk."""
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
-            self._settle(index)
+            self._finish_fetch(index)
 
     def record_origin_failure(self, now: float) -> None:
-        """Note that the origin gave no answer: it is left alone for a while."""
+        """Record a failed read from the origin; pause further reads."""
         pause = pause_s(
             self._origin_failures,
             self._rng,
-            _AWAY_FIRST_S,
-            _AWAY_MOST_S,
-            _AWAY_LEAST_SHARE,
+            _ORIGIN_PAUSE_FIRST_S,
+            _ORIGIN_PAUSE_MAX_S,
+            _ORIGIN_PAUSE_MIN_SHARE,
         )
         self._origin_failures += 1
         self._origin_failed_at = now
         self._origin_answered_at = None
         self._others_read_at = None
-        self._known_count = self.available.bit_count()
-        self._origin_free_at = now + pause
+        self._available_at_failure = self.available.bit_count()
+        self._origin_retry_at = now + pause
 
     def record_origin_answer(self, now: float) -> None:
-        """Note that the origin is there."""
+        """Record an answer of the origin, which resets the pauses."""
         self._origin_failures = 0
         self._origin_answered_at = now
 
     def record_bad_chunk(self, vm: str, now: float) -> None:
-        """Ask nothing more of a peer that sent a bad chunk, for a while."""
+        """Send a peer that sent a bad chunk no requests for a while."""
         peer = self.peers.get(vm)
         if peer is not None:
-            peer.blocked_until = now + _SHUN_S
+            peer.blocked_until = now + _BAD_CHUNK_BLOCK_S
 
     def expired(
         self,
         now: float,
-        heard_at: Mapping[str, float],
+        last_byte_at: Mapping[str, float],
     ) -> list[int]:
-        """Give the fetches that took too long, or whose peer fell silent.
+        """Give the chunks whose fetch timed out or whose peer fell silent.
 
-        A peer's time is when its last byte came, on the same clock.
+        Times are in seconds on the clock of `now`; a peer's is the arrival of
+        its last byte.
         """
         return [
             index
             for index, pending in self.pending.items()
-            if self._overdue(pending, now, heard_at)
+            if self._is_overdue(pending, now, last_byte_at)
         ]
 
     def record_silence(self, vm: str, now: float) -> None:
-        """Ask nothing of a peer that fell silent, for a while.
+        """Send a peer that fell silent no requests for a while.
 
-        What was asked of it may still come.
+        The chunk requested from it may still arrive.
         """
         self._inbound_link.record_timeout(now)
         peer = self.peers.get(vm)
         if peer is not None:
-            peer.blocked_until = max(peer.blocked_until, now + _AVOID_S)
+            peer.blocked_until = max(peer.blocked_until, now + _SILENCE_BLOCK_S)
             self._silent_peers.record_timeout(vm, self.peers, now)
 
     def plan(self, now: float) -> Iterator[Fetch]:
-        """Yield the fetches to begin now, and count them as begun.
+        """Yield the fetches to start now, and record them as started.
 
-        No more than the link of this VM can bring soon: calls to the engine
-        here wait behind them. Before it has brought anything, what may be
-        asked of peers and of the origin is not added up. The origin goes first,
-        but where it fills the room, peers have every other place.
+        Their number is limited to what this VM's link can carry soon, since
+        calls to the local engine queue behind the chunks. Until the
+        link's speed is measured, the limit is the larger of the two windows,
+        not their sum. The origin goes first; where it would take all the room,
+        peers get every other fetch.
         """
         self._inbound_link.update(now)
         unmeasured = max(self._cfg.window, self._cfg.origin_window)
         room = self._inbound_link.request_budget(unmeasured)
         if self.origin_only:
-            of_origin = self._plan_origin(now)
-            yield from itertools.islice(of_origin, max(0, room))
+            planned_reads = self._plan_origin(now)
+            yield from itertools.islice(planned_reads, max(0, room))
             return
-        one_of_peers = 1 if self._peers_next else 0
+        leading_fetches = 1 if self._peers_first else 0
         planned = itertools.chain(
-            itertools.islice(self._plan_peers(now), one_of_peers),
+            itertools.islice(self._plan_peers(now), leading_fetches),
             self._plan_origin(now),
             self._plan_peers(now),
         )
         yield from itertools.islice(planned, max(0, room))
 
     def close(self) -> None:
-        """Wait for nothing any more."""
+        """Drop all fetches in progress."""
         for index in list(self.pending):
-            self._settle(index)
+            self._finish_fetch(index)
 
-    def _overdue(
+    def _is_overdue(
         self,
         pending: PendingFetch,
         now: float,
-        heard_at: Mapping[str, float],
+        last_byte_at: Mapping[str, float],
     ) -> bool:
         if now - pending.requested_at > self._cfg.request_timeout_s:
             return True
         if pending.source == ORIGIN:
             return False
-        last = max(
+        last_progress_at = max(
             pending.requested_at,
-            heard_at.get(pending.source, pending.requested_at),
+            last_byte_at.get(pending.source, pending.requested_at),
         )
-        patience_s = _OWED_FACTOR * self._inbound_link.backlog_with_origin_s
-        return now - last > max(self._cfg.silence_s, patience_s)
+        patience_s = _PATIENCE_FACTOR * self._inbound_link.backlog_with_origin_s
+        return now - last_progress_at > max(self._cfg.silence_s, patience_s)
 
     def _plan_origin(self, now: float) -> Iterator[Fetch]:
-        if now < self._origin_free_at:
+        if now < self._origin_retry_at:
             return
-        reading = sum(
+        in_progress = sum(
             1 for pending in self.pending.values() if pending.source == ORIGIN
         )
-        most = self._cfg.origin_window
+        limit = self._cfg.origin_window
         if self._origin_failed_at is not None:
-            # All that was due meanwhile is due at once: more would be more
-            # connections than an origin takes.
-            most = max(1, most // _FEWER_AFTER_FAILURE)
-        for index in self._due(now):
-            if reading >= most:
+            # All chunks that became due during the outage are due at once; a
+            # full window would open more connections than an origin accepts.
+            limit = max(1, limit // _FAILED_WINDOW_DIVISOR)
+        for index in self._due_from_origin(now):
+            if in_progress >= limit:
                 return
-            reading += 1
-            yield self._begin(Fetch(index, ORIGIN), now)
-
-    def _due(self, now: float) -> Iterator[int]:
-        away = self._away(now)
-        for index in self._lacking(self.policy.turns()):
-            due = None if self._rarity[index] else self._origin_due(index, away)
+            in_progress += 1
+            yield self._start_fetch(Fetch(index, ORIGIN), now)
+
+    def _due_from_origin(self, now: float) -> Iterator[int]:
+        outage = self._origin_outage(now)
+        for index in self._missing(self.policy.turns()):
+            due = (
+                None
+                if self._holder_counts[index]
+                else self._origin_due_at(index, outage)
+            )
             if due is not None and due <= now:
                 yield index
-        every = chunks.full_bitmap(self.count)
-        lone = self._silent_peers.unreachable_chunks(
-            now, self.peers, every, self._turns_over_at
+        all_chunks = chunks.full_bitmap(self.count)
+        unreachable = self._silent_peers.unreachable_chunks(
+            now, self.peers, all_chunks, self._turns_end_at
         )
-        for among, since in lone:
+        for candidates, since in unreachable:
             yield from (
                 chunk
-                for chunk in self._lacking(among)
+                for chunk in self._missing(candidates)
                 if self.policy.alone_at(chunk, since) <= now
             )
 
-    def _away(self, now: float) -> Away | None:
-        """Give what is known of the origin, if it failed."""
+    def _origin_outage(self, now: float) -> Away | None:
+        """Describe the origin's outage; None if no read from it failed."""
         if self._origin_failed_at is None:
             return None
-        known = self.available
+        available = self.available
         if (
             self._others_read_at is None
-            and known.bit_count() > self._known_count
+            and available.bit_count() > self._available_at_failure
         ):
             self._others_read_at = now
-        mine = chunks.indices(self.policy.turns() & ~known)
+        own_turns = chunks.indices(self.policy.turns() & ~available)
         return Away(
             self._origin_failed_at,
             self._origin_answered_at,
             self._others_read_at,
-            self.count - known.bit_count(),
-            not all(map(self.policy.takes_over, mine)),
+            self.count - available.bit_count(),
+            not all(map(self.policy.takes_over, own_turns)),
         )
 
-    def _lacking(self, among: int) -> Iterator[int]:
-        """Yield, in this VM's own order, what is neither held nor asked for."""
-        among &= ~self.held
-        for index in self._order:
-            if among >> index & 1 and index not in self.pending:
+    def _missing(self, candidates: int) -> Iterator[int]:
+        """Yield the candidates neither held nor pending, in the read order."""
+        candidates &= ~self.held
+        for index in self._read_order:
+            if candidates >> index & 1 and index not in self.pending:
                 yield index
 
-    def _origin_due(self, index: int, away: Away | None) -> float | None:
+    def _origin_due_at(self, index: int, outage: Away | None) -> float | None:
         due = self.policy.due_at(index, self.started_at)
-        if due is None or away is None:
+        if due is None or outage is None:
             return due
-        return max(due, self.policy.again_at(index, away))
+        return max(due, self.policy.again_at(index, outage))
 
     def _plan_peers(self, now: float) -> Iterator[Fetch]:
-        asked = sum(
+        in_progress = sum(
             1 for pending in self.pending.values() if pending.source != ORIGIN
         )
-        room = self._cfg.window - asked
+        room = self._cfg.window - in_progress
         if room <= 0:
             return
         free = self._free_peers(now)
         for index in self._rarest_first(free):
-            source = self._quietest(index, free, now)
+            source = self._least_loaded_holder(index, free, now)
             if source is None:
                 continue
-            yield self._begin(Fetch(index, source), now)
+            yield self._start_fetch(Fetch(index, source), now)
             room -= 1
             if self.peers[source].outstanding >= self._cfg.per_peer:
                 free.pop(source)
@@ -401,28 +412,34 @@
             for index in chunks.indices(wanted)
             if index not in self.pending
         ]
-        near = 0
+        held_nearby = 0
         for peer in self.peers.values():
-            near |= 0 if peer.is_remote else peer.held
+            held_nearby |= 0 if peer.is_remote else peer.held
         self._rng.shuffle(indices)
-        # What nobody near holds goes first: all others near wait for it.
-        indices.sort(key=lambda index: (near >> index & 1, self._rarity[index]))
+        # Chunks that no nearby VM holds go first, since all of those wait for
+        # them; among the rest, the ones with the fewest holders.
+        indices.sort(
+            key=lambda index: (
+                held_nearby >> index & 1,
+                self._holder_counts[index],
+            )
+        )
         return indices
 
-    def _far_due(self, index: int, now: float) -> bool:
-        if self._far is None:
+    def _is_remote_due(self, index: int, now: float) -> bool:
+        if self._remote_policy is None:
             return True
-        due = self._far.due_at(index, self.started_at)
+        due = self._remote_policy.due_at(index, self.started_at)
         return due is not None and due <= now
 
-    def _quietest(
+    def _least_loaded_holder(
         self,
         index: int,
         free: dict[str, Peer],
         now: float,
     ) -> str | None:
         holders = [vm for vm, peer in free.items() if peer.held >> index & 1]
-        if not self._far_due(index, now):
+        if not self._is_remote_due(index, now):
             holders = [vm for vm in holders if not free[vm].is_remote]
         if not holders:
             return None
@@ -435,17 +452,18 @@
             ),
         )
 
-    def _begin(self, fetch: Fetch, now: float) -> Fetch:
-        of_peer = fetch.source != ORIGIN
-        # All VMs share the origin's link: it tells nothing of this one's.
-        flight = self._inbound_link.record_request(now, sampled=of_peer)
+    def _start_fetch(self, fetch: Fetch, now: float) -> Fetch:
+        from_peer = fetch.source != ORIGIN
+        # All VMs share the origin's link, so that a read from it says nothing
+        # about the speed of this VM's own link.
+        flight = self._inbound_link.record_request(now, sampled=from_peer)
         self.pending[fetch.index] = PendingFetch(fetch.source, flight)
-        self._peers_next = not of_peer
-        if of_peer:
+        self._peers_first = not from_peer
+        if from_peer:
             self.peers[fetch.source].outstanding += 1
         return fetch
 
-    def _settle(self, index: int) -> None:
+    def _finish_fetch(self, index: int) -> None:
         pending = self.pending.pop(index, None)
         if pending is None:
             return
@@ -455,13 +473,13 @@
         peer = self.peers[pending.source]
         peer.outstanding = max(0, peer.outstanding - 1)
 
-    def _count(self, bitmap: int, change: int) -> None:
+    def _count_holders(self, bitmap: int, change: int) -> None:
         for index in chunks.indices(bitmap):
-            self._rarity[index] += change
+            self._holder_counts[index] += change
 
 
 def progress_of(swarm: Swarm) -> Brought:
-    """Tell how far a version is here."""
+    """Count a version's chunks: all, not held here, held by no known VM."""
     return Brought(
         swarm.count,
         swarm.count - swarm.held.bit_count(),
--- a/src/linnetwood/weights/waves.py
+++ b/src/linnetwood/weights/waves.py
@@ -1,17 +1,18 @@
 """Decide when engines change version, so that not all change at once; no I/O.
 
-An engine takes nothing new while it finishes what it runs before a change. The
-first wave drains ahead of its change and comes back first; the
-second goes on until the first is back, or until calls may no longer begin on
-its version.
+Before a change, an engine finishes its running calls and takes no new ones. The
+first wave drains ahead of its change and is back in service first. The second
+wave serves until the first is back, or until the cutoff after which no call may
+begin on its version.
 """
 
 from collections.abc import Iterable
 
 from linnetwood.fleet.members import hash64
 
-# The first wave drains from when this part of its chunks is missing: about
-# as long before the end of a transfer as calls take to finish.
+# The first wave starts to drain when no more than this share of its chunks is
+# missing. The rest of the transfer then takes about as long as calls take to
+# finish.
 DRAIN_MISSING_SHARE = 0.22
 
 
@@ -22,7 +23,7 @@
 
 
 def is_draining(held: int, count: int, *, first: bool) -> bool:
-    """Tell whether new calls should go elsewhere already."""
+    """Tell whether new calls should already go to other engines."""
     return first and count - held <= count * DRAIN_MISSING_SHARE
 
 
@@ -33,7 +34,11 @@
     *,
     first: bool,
 ) -> float:
-    """Give when to change: the second wave when the first should be back."""
+    """Give the time of the change, in seconds.
+
+    The second wave waits `switch_s` for the first to be back, but not past the
+    cutoff.
+    """
     if first:
         return complete_at
     return max(complete_at, min(complete_at + switch_s, cutoff))
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""No order of chunks, losses, restarts and versions mixes weights."""
+"""Chunks, losses, restarts and versions in any order never mix weights."""
 
 import asyncio
 import hashlib
@@ -39,21 +39,22 @@
     'v1': bytes(range(256)) * 2,
     'v2': bytes(range(256)) + bytes(256),
 }
-CHUNK = 64
+CHUNK_BYTES = 64
 MANIFESTS = {
-    name: chunks.build(weights, CHUNK) for name, weights in WEIGHTS.items()
+    version: chunks.build(weights, CHUNK_BYTES)
+    for version, weights in WEIGHTS.items()
 }
 NAMES = {
-    name: chunks.digest_name(manifest.encode())
-    for name, manifest in MANIFESTS.items()
+    version: chunks.digest_name(manifest.encode())
+    for version, manifest in MANIFESTS.items()
 }
 
 
 class FakeEngine:
-    """Take orders, lose answers as told, and tell on a bad load."""
+    """Take orders, lose answers on request, and record invalid loads."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Start without weights."""
         self.fence = 0
         self.serving = ''
         self.manifest = ''
@@ -65,27 +66,27 @@
         self.down = False
 
     def restart(self) -> None:
-        """Lose everything, the fence too."""
+        """Lose all weights and the fence."""
         self.fence = 0
         self.serving = ''
         self.manifest = ''
         self.staged = {}
 
     async def status(self) -> EngineStatus:
-        """Tell what serves."""
-        self._answer()
+        """Give the fence and the version in service."""
+        self._raise_if_down()
         return EngineStatus(self.fence, self.serving, self.manifest)
 
     async def stage(self, manifest: str, index: int, chunk: bytes) -> None:
-        """Take a chunk in."""
-        self._answer()
+        """Record the digest of a chunk."""
+        self._raise_if_down()
         await asyncio.sleep(0.001)
         digest = hashlib.sha256(chunk).digest()
         self.staged.setdefault(manifest, {})[index] = digest
 
     async def load(self, order: LoadOrder) -> None:
-        """Load, unless the fence is stale."""
-        self._answer()
+        """Load the staged chunks; raise OrderError if stale or incomplete."""
+        self._raise_if_down()
         if order.fence <= self.fence:
             raise OrderError('stale-fence')
         self.fence = order.fence
@@ -102,30 +103,34 @@
             self.lose_answers -= 1
             raise OrderError('engine-unreachable')
 
-    def _answer(self) -> None:
+    def _raise_if_down(self) -> None:
         if self.down:
             raise OrderError('engine-unreachable')
 
 
 class FakeOrigin:
-    """Give chunks, wrong or not at all as told."""
+    """Serve chunks; corrupt them or refuse on request."""
 
     def __init__(self) -> None:
-        """Start honest."""
+        """Start without faults."""
         self.down = False
         self.corrupt = 0
         self.reads: list[tuple[str, int]] = []
 
     async def read(self, manifest: str, index: int) -> bytes:
-        """Read a chunk."""
+        """Read a chunk or the manifest; raise WeightsError if down."""
         await asyncio.sleep(0.005)
         if self.down:
             raise WeightsError('origin-refused')
         self.reads.append((manifest, index))
-        name = next(one for one, found in NAMES.items() if found == manifest)
+        version = next(
+            version for version, name in NAMES.items() if name == manifest
+        )
         if index == chunks.MANIFEST_INDEX:
-            return MANIFESTS[name].encode()
-        chunk = WEIGHTS[name][index * CHUNK : (index + 1) * CHUNK]
+            return MANIFESTS[version].encode()
+        chunk = WEIGHTS[version][
+            index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES
+        ]
         if self.corrupt:
             self.corrupt -= 1
             return chunk[:-1] + bytes((chunk[-1] ^ 1,))
@@ -133,7 +138,7 @@
 
 
 class NoBackend:
-    """Run nothing."""
+    """Answer every call without running it."""
 
     async def run(self, start: Start, body: bytes, sink: BackendSink) -> Ending:
         """Answer at once."""
@@ -144,7 +149,7 @@
 
 
 class Slot:
-    """One VM: an engine that outlives the processes before it."""
+    """One VM, whose engine outlives the processes that drive it."""
 
     def __init__(self) -> None:
         """Start the first process."""
@@ -157,7 +162,7 @@
         self.agent = self.start()
 
     def start(self) -> WeightsAgent:
-        """Start a process that remembers nothing."""
+        """Start a process without any state of earlier ones."""
         self.starts += 1
         me = member('vm', incarnation=self.starts)
         me.kind = 'engine'
@@ -194,7 +199,7 @@
         return agent
 
     def configuration(self) -> Configuration:
-        """Give what is in force."""
+        """Give the configuration in force."""
         return Configuration(
             revision=self.revision,
             deployment=self.deployment,
@@ -202,7 +207,7 @@
         )
 
     def want(self, version: str) -> None:
-        """Put an intent in force, or none."""
+        """Put an intent for a version in force; none for an empty one."""
         self.revision += 1
         intents = []
         if version:
@@ -222,25 +227,25 @@
         self.agent.apply_config(self.configuration())
 
     async def restart(self) -> None:
-        """Kill the process and start another."""
+        """Close the process and start another."""
         await self.agent.close()
         self.agent = self.start()
 
     def check(self) -> list[str]:
-        """Give what is wrong now."""
-        found = list(self.engine.violations)
+        """List violations: loads during a call, and fences out of order."""
+        violations = list(self.engine.violations)
         if self.engine.loads != sorted(set(self.engine.loads)):
-            found.append('orders out of order')
-        return found
+            violations.append('orders out of order')
+        return violations
 
 
-async def play(events: list[tuple[str, float]]) -> Slot:
-    """Play events with pauses, then let everything settle."""
+async def run_scenario(events: list[tuple[str, float]]) -> Slot:
+    """Apply events after pauses in seconds; then wait 60 s without faults."""
     slot = Slot()
     slot.want('v1')
     for event, pause in events:
         await asyncio.sleep(pause)
-        await act(slot, event)
+        await apply_event(slot, event)
     slot.origin.down = False
     slot.engine.down = False
     await asyncio.sleep(60)
@@ -248,8 +253,8 @@
     return slot
 
 
-async def act(slot: Slot, event: str) -> None:
-    """Bring one event about."""
+async def apply_event(slot: Slot, event: str) -> None:
+    """Apply one event: a restart, a fault or a new intent."""
     fault = FAULTS.get(event)
     if event == 'restart':
         await slot.restart()
@@ -259,38 +264,43 @@
         fault(slot)
 
 
-def corrupt(slot: Slot) -> None:
-    """Send the next chunks wrong."""
+def corrupt_chunks(slot: Slot) -> None:
+    """Corrupt the next 3 chunks that the origin sends."""
     slot.origin.corrupt += 3
 
 
-def lose(slot: Slot) -> None:
+def lose_confirmation(slot: Slot) -> None:
     """Lose the next confirmation of a load."""
     slot.engine.lose_answers += 1
 
 
-def origin(slot: Slot) -> None:
-    """Take the origin away or bring it back."""
+def toggle_origin(slot: Slot) -> None:
+    """Make the origin unreachable or reachable again."""
     slot.origin.down = not slot.origin.down
 
 
-def engine(slot: Slot) -> None:
-    """Take the engine away or bring it back."""
+def toggle_engine(slot: Slot) -> None:
+    """Make the engine unreachable or reachable again."""
     slot.engine.down = not slot.engine.down
 
 
-FAULTS = {'corrupt': corrupt, 'lose': lose, 'origin': origin, 'engine': engine}
+FAULTS = {
+    'corrupt': corrupt_chunks,
+    'lose': lose_confirmation,
+    'origin': toggle_origin,
+    'engine': toggle_engine,
+}
 
 
 EVENTS = ('v1', 'v2', '', 'restart', *FAULTS)
 
 
 class AgentTest(unittest.TestCase):
-    """Weights are whole, and the newest intent is met in the end."""
+    """Loaded weights are complete, and the newest intent takes effect."""
 
     def play(self, *events: tuple[str, float]) -> Slot:
-        """Play events in virtual time."""
-        return virtual.run(play(list(events)))
+        """Run a scenario in virtual time."""
+        return virtual.run(run_scenario(list(events)))
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(
@@ -314,24 +324,24 @@
             self.assertEqual(found, (label, label))
 
     def test_version_changed_in_flight(self) -> None:
-        """Twice in a row and back: the last one serves, nothing is mixed."""
+        """After 3 quick changes the last version serves; none are mixed."""
         slot = self.play(('v2', 0.01), ('v1', 0.01), ('v2', 0.01))
         self.assertEqual(slot.engine.serving, 'm@v2')
         self.assertEqual(slot.check(), [])
 
-    def test_chunks_in_common_are_not_read_again(self) -> None:
-        """Half of v2 is held with v1, so half of it is read."""
+    def test_shared_chunks_are_not_read_again(self) -> None:
+        """Half of v2's chunks are also v1's, so only the others are read."""
         slot = self.play(('v2', 10))
         read = [index for name, index in slot.origin.reads if index >= 0]
         self.assertEqual(len(read), 8 + 4)
 
     def test_cancelled_rollout_reads_no_more(self) -> None:
-        """Once nobody wants a version, none of it is fetched."""
+        """Once no intent names a version, its chunks are no longer fetched."""
         slot = self.play(('', 0.02))
         self.assertLess(len(slot.origin.reads), 6)
 
-    def test_restart_believes_an_engine_that_holds_the_version(self) -> None:
-        """A new process reads nothing that its engine serves already."""
+    def test_restart_keeps_the_version_that_the_engine_serves(self) -> None:
+        """A new process reads no chunk that its engine already serves."""
         slot = self.play(('restart', 10))
         self.assertEqual(len(slot.origin.reads), 1 + 8)
         self.assertEqual(slot.guard.state.serving, 'm@v1')
@@ -343,7 +353,7 @@
         self.assertEqual(slot.check(), [])
 
     def test_paused_process_gives_no_stale_order(self) -> None:
-        """An order that a pause fell into is held back; newer ones go out."""
+        """An order begun before a pause is held back; newer ones are sent."""
 
         async def pause() -> Slot:
             slot = Slot()
@@ -352,15 +362,15 @@
             clock = slot.clock.now
             status = slot.engine.status
 
-            async def late() -> EngineStatus:
-                found = await status()
-                # The whole process stands still here for an hour.
-                later = 3600
-                slot.clock.now = lambda: clock() + later  # type: ignore
-                return found
+            async def paused_status() -> EngineStatus:
+                answer = await status()
+                # The whole process is suspended here for 1 hour.
+                pause_s = 3600
+                slot.clock.now = lambda: clock() + pause_s  # type: ignore
+                return answer
 
             await asyncio.sleep(0.01)
-            slot.engine.status = late  # type: ignore[method-assign]
+            slot.engine.status = paused_status  # type: ignore[method-assign]
             await asyncio.sleep(3)
             self.assertEqual(len(slot.engine.loads), loads)
             slot.want('v2')
@@ -373,8 +383,8 @@
         self.assertEqual(slot.engine.serving, 'm@v2')
         self.assertEqual(len(slot.engine.loads), 1)
 
-    def test_wish_changed_while_a_call_finishes(self) -> None:
-        """A load that waited for a call is dropped once nobody wants it."""
+    def test_intent_changed_while_a_call_finishes(self) -> None:
+        """A load waiting for a call is dropped once no intent names it."""
 
         async def change() -> Slot:
             slot = Slot()
@@ -395,9 +405,9 @@
         self.assertEqual(slot.guard.state.serving, 'm@v1')
 
     def test_engine_that_lost_its_weights_is_loaded_again(self) -> None:
-        """An engine that started anew does not stay empty."""
+        """A restarted engine gets the wanted version again."""
 
-        async def lose() -> Slot:
+        async def lose_weights() -> Slot:
             slot = Slot()
             slot.want('v1')
             await asyncio.sleep(5)
@@ -406,11 +416,11 @@
             await slot.agent.close()
             return slot
 
-        slot = virtual.run(lose())
+        slot = virtual.run(lose_weights())
         self.assertEqual(slot.engine.serving, 'm@v1')
 
     def test_corrupt_chunks_are_never_kept(self) -> None:
-        """Every held chunk is right, however many came wrong."""
+        """All chunks kept are correct after 9 corrupt ones."""
         slot = self.play(('corrupt', 0), ('corrupt', 0), ('corrupt', 0))
         self.assertTrue(slot.store.verify(MANIFESTS['v1']))
 
--- a/tests/test_silent_peers.py
+++ b/tests/test_silent_peers.py
@@ -144,7 +144,7 @@
         holder = member(host, port=port)
         holder.host = host
         agent._gossip.members[host] = holder
-        agent._holders = {NAME: {host}}
+        agent._manifest_holders = {NAME: {host}}
         try:
             async with asyncio.timeout(GUARD_S / 2):
                 await agent._read_manifest(Target('', NAME, Intent()))
--- a/tests/test_waves.py
+++ b/tests/test_waves.py
@@ -1,4 +1,4 @@
-"""Engines change in two waves."""
+"""Engines change version in two waves."""
 
 import unittest
 
@@ -6,18 +6,18 @@
 
 
 class WavesTest(unittest.TestCase):
-    """Decide by names, counts and times."""
+    """Waves follow from VM names, chunk counts and times."""
 
     def test_half_of_the_engines_change_first(self) -> None:
-        """All VMs agree on who does, and it differs by version."""
+        """All VMs compute the same first wave from the version's name."""
         for count in (1, 2, 3, 10, 24):
-            vms = [f'vm-{one}' for one in range(count)]
+            vms = [f'vm-{number}' for number in range(count)]
             first = [vm for vm in vms if in_first_wave(vm, vms, 'm@2')]
             with self.subTest(count=count):
                 self.assertEqual(len(first), count // 2)
 
-    def test_spared_only_in_the_first_wave_and_near_the_end(self) -> None:
-        """The second wave takes calls until it changes."""
+    def test_drains_only_in_the_first_wave_and_near_the_end(self) -> None:
+        """The second wave takes calls until its change."""
         cases = (
             (96, True, True),
             (80, True, True),
@@ -29,7 +29,7 @@
                 self.assertEqual(is_draining(held, 96, first=first), expected)
 
     def test_second_wave_waits_for_the_first_or_the_cutoff(self) -> None:
-        """It never waits once calls may not begin on its version."""
+        """It waits no longer once calls may not begin on its version."""
         cases = (
             ('first', 10, 20, True, 10),
             ('second', 10, 20, False, 12),
@@ -38,8 +38,8 @@
         )
         for name, complete, cutoff, first, expected in cases:
             with self.subTest(name=name):
-                found = change_due_at(complete, cutoff, 2, first=first)
-                self.assertEqual(found, expected)
+                due_at = change_due_at(complete, cutoff, 2, first=first)
+                self.assertEqual(due_at, expected)
 
 
 if __name__ == '__main__':
