--- a/src/linnetwood/weights/swarm.py
+++ b/src/linnetwood/weights/swarm.py
@@ -183,8 +183,8 @@
     def record_chunk(self, index: int, source: str) -> bool:
         """Record a verified chunk; tell whether it was new.
 
-        A late chunk from a source that was given up doesn't end the request
-        that another source received for it: that chunk may still arrive.
+        After a late chunk from a source that was given up, the copy requested
+        from another source may still arrive and occupies the link.
         """
         pending = self.pending.get(index)
         if pending is not None and pending.source == source:
