--- a/src/linnetwood/lab/transfers.py
+++ b/src/linnetwood/lab/transfers.py
@@ -20,8 +20,8 @@
 from linnetwood.weights.inflow import Inflow
 from linnetwood.weights.reading import Ring, SharedReading, ZoneReading
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm, brought
-from linnetwood.weights.takeover import TakeOver
-from linnetwood.weights.versionplan import Outlook, VersionPlan
+from linnetwood.weights.takeover import TakeoverPolicy
+from linnetwood.weights.versionplan import PlanInputs, VersionPlan
 
 MODEL = 'm'
 _ORIGIN_ZONE = 'z0'
@@ -75,7 +75,7 @@
 class Ways:
     """The decisions that are compared."""
 
-    takeover: TakeOver
+    takeover: TakeoverPolicy
     plan: VersionPlan
 
 
@@ -309,17 +309,17 @@
     def _act(self, vm: _Vm, now: float) -> None:
         self._take(vm, now)
         outlook = self._outlook(vm, now)
-        aim = self._ways.plan.aim(self._wanted, outlook)
+        aim = self._ways.plan.choose_version(self._wanted, outlook)
         self._want(vm, aim, now)
         for version, swarm in vm.swarms.items():
             self._give_up(vm, version, now)
             for fetch in swarm.plan(now):
                 self._begin(vm, version, fetch, now)
 
-    def _outlook(self, vm: _Vm, now: float) -> Outlook:
+    def _outlook(self, vm: _Vm, now: float) -> PlanInputs:
         here = {version: brought(swarm) for version, swarm in vm.swarms.items()}
         place = self._place
-        return Outlook(
+        return PlanInputs(
             MODEL,
             vm.serving,
             vm.aim,
@@ -351,7 +351,7 @@
         swarm = vm.swarms.get(vm.aim)
         if newest == vm.aim or swarm is None:
             return
-        if self._ways.plan.reads_ahead(brought(swarm)):
+        if self._ways.plan.may_read_ahead(brought(swarm)):
             yield newest
 
     def _drop(self, vm: _Vm, version: int) -> None:
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -102,7 +102,7 @@
         if news.entry is not None:
             self._heard_entry(news.entry, source)
         if news.held is not None:
-            self._follower.noticed(news.held)
+            self._follower.add_notice(news.held)
         if news.said is not None:
             self._latest_notice.update(news.said, self._clock.now())
         if news.asks is not None:
@@ -140,8 +140,8 @@
         told_for_s = self._listeners.unbroken_for_s(now)
         steady = told_for_s > self._cfg.version_bound_s
         self._wanted.apply_messages(entry.wanted, now, steady=steady)
-        self._follower.around.origin_bytes_per_s = entry.origin_bytes_per_s
-        self._follower.around.chunk_bytes = entry.chunk_bytes
+        self._follower.fleet.origin_bytes_per_s = entry.origin_bytes_per_s
+        self._follower.fleet.chunk_bytes = entry.chunk_bytes
         size = entry.chunks * entry.chunk_bytes
         share = _TRANSFER_SHARE * self._cfg.link_bytes_per_s
         self._follower.transfer_s = size / share
@@ -153,7 +153,7 @@
             self._follower.wake()
 
     def _learned(self, places: dict[str, str]) -> None:
-        self._follower.around.peers = places
+        self._follower.fleet.peers = places
         self._follower.wake()
 
     def _report(self, report: EngineReport, now: float) -> None:
@@ -215,7 +215,7 @@
 
     def _falls_to_me(self, zone: str) -> bool:
         """Tell by chance, as often as a few of those who may tell a zone."""
-        beside = list(self._follower.around.peers.values())
+        beside = list(self._follower.fleet.peers.values())
         own = beside.count(zone)
         if own and zone != self._cfg.zone:
             return False
--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -24,7 +24,7 @@
     OriginPolicy,
     Ring,
     SharedReading,
-    Turns,
+    PreviousTurns,
 )
 from linnetwood.weights.staging import Staging
 from linnetwood.weights.transfer import Download, Tools
@@ -269,7 +269,7 @@
         self,
         name: str,
         manifest: chunks.Manifest,
-        before: Turns | None = None,
+        before: PreviousTurns | None = None,
     ) -> OriginPolicy:
         count = len(manifest.digests)
         if self._tools.cfg.reading == 'direct':
@@ -304,7 +304,7 @@
         # Whoever is gone has no turn at the origin any more.
         swarm = download.swarm
         elapsed_s = self._tools.clock.now() - swarm.started
-        before = Turns(swarm.policy.turns(), elapsed_s)
+        before = PreviousTurns(swarm.policy.assigned(), elapsed_s)
         swarm.policy = self._policy(
             download.name,
             download.manifest,
--- a/src/linnetwood/weights/fetching.py
+++ b/src/linnetwood/weights/fetching.py
@@ -14,9 +14,9 @@
 from linnetwood.weights.manifests import Manifests
 from linnetwood.weights.reading import Ring, SharedReading, ZoneReading
 from linnetwood.weights.swarm import brought
-from linnetwood.weights.takeover import TakeOver, after_the_rest
+from linnetwood.weights.takeover import TakeoverPolicy, after_unread_chunks
 from linnetwood.weights.transfer import Download, Tools
-from linnetwood.weights.versionplan import Brought
+from linnetwood.weights.versionplan import ChunkProgress
 
 _MANIFEST_RETRY_S = 0.3
 _TAKEOVER_S = 1.0
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Aim:
+class ModelVersion:
     """A version to bring to the engine."""
 
     model: str
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Surroundings:
+class FleetInfo:
     """What entries told of the fleet: zones by host of peer, and the origin."""
 
     peers: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -61,7 +61,7 @@
         return self.chunk_bytes / max(1, self.origin_bytes_per_s)
 
 
-class Fetching:
+class VersionDownloads:
     """Own the downloads of the versions that are wanted.
 
     A version's download begins once its manifest is here. Nothing waits for
@@ -75,11 +75,11 @@
         origin: Origin,
         wire_port: int,
         wake: Callable[[], None],
-        takeover: TakeOver = after_the_rest,
+        takeover: TakeoverPolicy = after_unread_chunks,
     ) -> None:
         """Fetch nothing yet; wake the owner whenever a download begins."""
         self._takeover = takeover
-        self.around = Surroundings()
+        self.fleet = FleetInfo()
         self._tools = tools
         self._engine = engine
         self._manifests = Manifests(
@@ -92,16 +92,16 @@
         self._port = wire_port
         self._wake_owner = wake
         self._recovered: set[str] = set()
-        self._beginning: dict[Aim, asyncio.Task[None]] = {}
-        self._downloads: dict[Aim, Download] = {}
-        self._met: dict[Aim, dict[str, str]] = {}
+        self._beginning: dict[ModelVersion, asyncio.Task[None]] = {}
+        self._downloads: dict[ModelVersion, Download] = {}
+        self._met: dict[ModelVersion, dict[str, str]] = {}
         self._partners: _Partners = {}
 
-    def get(self, aim: Aim) -> Download | None:
+    def get(self, aim: ModelVersion) -> Download | None:
         """Give the download of a version, if it has begun."""
         return self._downloads.get(aim)
 
-    async def want(self, aims: Sequence[Aim]) -> None:
+    async def fetch_only(self, aims: Sequence[ModelVersion]) -> None:
         """Fetch these versions and no others."""
         for aim in list(self._beginning):
             if aim not in aims:
@@ -115,14 +115,14 @@
         for aim, download in self._downloads.items():
             self._meet_peers(aim, download)
 
-    def prefer(self, first: Aim) -> None:
+    def prioritise(self, first: ModelVersion) -> None:
         """Ask peers for nothing else until this version is whole."""
         download = self._downloads.get(first)
         pending = download is not None and not download.swarm.complete
         for aim, other in self._downloads.items():
             other.swarm.ahead = pending and aim != first
 
-    def brought(self, model: str) -> dict[int, Brought]:
+    def progress_of(self, model: str) -> dict[int, ChunkProgress]:
         """Give how far each version of a model is here."""
         return {
             aim.version: brought(download.swarm)
@@ -132,10 +132,10 @@
 
     async def close(self) -> None:
         """Stop fetching."""
-        await self.want(())
+        await self.fetch_only(())
         self._tools.fetcher.close()
 
-    def noticed(self, notice: HeldNotice) -> None:
+    def add_notice(self, notice: HeldNotice) -> None:
         """Take in what a peer holds."""
         self._manifests.noticed(notice.manifest, notice.sender)
         for download in self._downloads.values():
@@ -150,7 +150,7 @@
         holder short, and word of what is held bounded.
         """
         me = self._tools.me
-        peers = self.around.peers
+        peers = self.fleet.peers
         known = self._partners.get(manifest)
         if known is not None and known[0] == peers:
             return known[1]
@@ -182,7 +182,7 @@
         fetched = {aim.name for aim in (*self._beginning, *self._downloads)}
         return {name: one for name, one in known.items() if name in fetched}
 
-    async def _begin(self, aim: Aim) -> None:
+    async def _begin(self, aim: ModelVersion) -> None:
         manifest = await self._sought(aim)
         self._beginning.pop(aim, None)
         self._keep_for_peers(aim, manifest)
@@ -196,11 +196,13 @@
             manifest=aim.name,
             held=download.swarm.held.bit_count(),
             chunks=len(manifest.digests),
-            peers=len(self.around.peers),
+            peers=len(self.fleet.peers),
         )
         self._wake_owner()
 
-    def _keep_for_peers(self, aim: Aim, manifest: chunks.Manifest) -> None:
+    def _keep_for_peers(
+        self, aim: ModelVersion, manifest: chunks.Manifest
+    ) -> None:
         """Keep what is fetched, and the last version before: peers may ask."""
         uploads = self._tools.uploads
         fetched = {download.name for download in self._downloads.values()}
@@ -211,12 +213,12 @@
         uploads.manifests = {**kept, aim.name: manifest}
         self._tools.store.drop_all_but(list(uploads.manifests.values()))
 
-    async def _drop(self, aim: Aim) -> None:
+    async def _drop(self, aim: ModelVersion) -> None:
         log(Event.TRANSFER_DROPPED, manifest=aim.name)
         self._met.pop(aim, None)
         await self._downloads.pop(aim).close()
 
-    async def _sought(self, aim: Aim) -> chunks.Manifest:
+    async def _sought(self, aim: ModelVersion) -> chunks.Manifest:
         while True:
             try:
                 manifest = await self._manifest(aim)
@@ -227,7 +229,7 @@
             else:
                 return manifest
 
-    async def _manifest(self, aim: Aim) -> chunks.Manifest:
+    async def _manifest(self, aim: ModelVersion) -> chunks.Manifest:
         known = self._tools.uploads.manifests.get(aim.name)
         if known is not None:
             return known
@@ -238,7 +240,9 @@
             self.partners,
         )
 
-    async def _recover(self, aim: Aim, manifest: chunks.Manifest) -> None:
+    async def _recover(
+        self, aim: ModelVersion, manifest: chunks.Manifest
+    ) -> None:
         """Take back what the engine still has staged: this process forgot."""
         if aim.model in self._recovered:
             return
@@ -252,13 +256,13 @@
 
     def _turns(
         self,
-        aim: Aim,
+        aim: ModelVersion,
         count: int,
         cfg: SwarmOptions,
     ) -> tuple[SharedReading, ZoneReading]:
         me = self._tools.me
         near = self._near()
-        everyone = Ring(aim.name, {*self.around.peers, me})
+        everyone = Ring(aim.name, {*self.fleet.peers, me})
         return (
             SharedReading(
                 me,
@@ -277,7 +281,7 @@
         )
 
     def _near(self) -> set[str]:
-        peers = self.around.peers
+        peers = self.fleet.peers
         zone = peers.get(self._tools.me)
         return {vm for vm, place in peers.items() if place == zone} | {
             self._tools.me,
@@ -285,7 +289,7 @@
 
     def _options(self, manifest: chunks.Manifest) -> SwarmOptions:
         cfg = self._tools.cfg
-        rate = max(1, self.around.origin_bytes_per_s)
+        rate = max(1, self.fleet.origin_bytes_per_s)
         return SwarmOptions(
             window=cfg.window,
             queue_limit=cfg.upload_queue,
@@ -294,10 +298,10 @@
             silence_s=_SILENCE_S,
         )
 
-    def _meet_peers(self, aim: Aim, download: Download) -> None:
-        if self._met.get(aim) == self.around.peers:
+    def _meet_peers(self, aim: ModelVersion, download: Download) -> None:
+        if self._met.get(aim) == self.fleet.peers:
             return
-        self._met[aim] = self.around.peers
+        self._met[aim] = self.fleet.peers
         cfg = self._options(download.manifest)
         download.swarm.reroute(*self._turns(aim, download.swarm.count, cfg))
         near = self._near()
--- a/src/linnetwood/weights/follower.py
+++ b/src/linnetwood/weights/follower.py
@@ -12,10 +12,14 @@
 from linnetwood.gen.wire.ttypes import HeldNotice
 from linnetwood.weights import chunks, waves
 from linnetwood.weights.engine import Engine, EngineReport, Order, Origin
-from linnetwood.weights.fetching import Aim, Fetching, Surroundings
+from linnetwood.weights.fetching import (
+    FleetInfo,
+    ModelVersion,
+    VersionDownloads,
+)
 from linnetwood.weights.takeover import TAKEOVERS
 from linnetwood.weights.transfer import Download, Tools
-from linnetwood.weights.versionplan import PLANS, Outlook
+from linnetwood.weights.versionplan import PLANS, PlanInputs
 
 _WAKE_S = 0.1
 _SETTLE_S = 3.0
@@ -53,12 +57,12 @@
         self._planned = 0
         self.transfer_s = float()
         self.report: EngineReport | None = None
-        self.aim: Aim | None = None
+        self.target: ModelVersion | None = None
         self._tools = tools
         self._engine = engine
         self._wanted = wanted
         self._wake = asyncio.Event()
-        self._fetching = Fetching(
+        self._fetching = VersionDownloads(
             tools,
             engine,
             origin,
@@ -70,19 +74,19 @@
         self._staged = 0
         self._born = 0
         self._ordered_at = -_SETTLE_S
-        self._taken: Aim | None = None
+        self._taken: ModelVersion | None = None
         self._complete_at: float | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
-    def around(self) -> Surroundings:
+    def fleet(self) -> FleetInfo:
         """Give what is known of the fleet."""
-        return self._fetching.around
+        return self._fetching.fleet
 
     @property
     def download(self) -> Download | None:
         """Give the download of the version that comes next."""
-        return None if self.aim is None else self._fetching.get(self.aim)
+        return None if self.target is None else self._fetching.get(self.target)
 
     def start(self) -> None:
         """Begin to follow."""
@@ -102,17 +106,17 @@
     @property
     def draining(self) -> bool:
         """Tell whether new calls should go elsewhere: a change is near."""
-        aim = self.aim
+        target = self.target
         report = self.report
         download = self.download
-        if aim is None or report is None or download is None:
+        if target is None or report is None or download is None:
             return False
-        serving = report.serving.get(aim.model, 0)
-        if not 0 < serving < aim.version:
+        serving = report.serving.get(target.model, 0)
+        if not 0 < serving < target.version:
             return False
         held = download.swarm.held.bit_count()
         count = download.swarm.count
-        return waves.is_draining(held, count, first=self._first_wave(aim))
+        return waves.is_draining(held, count, first=self._first_wave(target))
 
     @property
     def busy(self) -> bool:
@@ -120,16 +124,19 @@
         report = self.report
         if report is None or report.changing:
             return True
-        aim = self.aim
-        return aim is None or report.serving.get(aim.model, 0) < aim.version
+        target = self.target
+        return (
+            target is None
+            or report.serving.get(target.model, 0) < target.version
+        )
 
     def partners(self, manifest: str) -> list[str]:
         """Give the hosts with which a version's chunks are exchanged."""
         return self._fetching.partners(manifest)
 
-    def noticed(self, notice: HeldNotice) -> None:
+    def add_notice(self, notice: HeldNotice) -> None:
         """Take in what a peer holds."""
-        self._fetching.noticed(notice)
+        self._fetching.add_notice(notice)
 
     def notices(self) -> list[HeldNotice]:
         """Tell what is held here of the versions that are fetched."""
@@ -160,19 +167,19 @@
         if planned is None:
             return
         await self._fetch(*planned)
-        aim = self.aim
+        target = self.target
         download = self.download
-        if aim is None or download is None:
+        if target is None or download is None:
             return
-        await self._lay(aim, download)
-        if report.serving.get(aim.model, 0) >= aim.version:
+        await self._lay(target, download)
+        if report.serving.get(target.model, 0) >= target.version:
             return
-        if self._taken == aim and now_s - self._ordered_at < _SETTLE_S:
+        if self._taken == target and now_s - self._ordered_at < _SETTLE_S:
             return
         if not download.swarm.complete or report.changing:
             return
-        if now_s >= self._change_at(aim, report, now_s):
-            await self._take(aim, download)
+        if now_s >= self._change_at(target, report, now_s):
+            await self._take(target, download)
 
     def _begin_life(self, born: int) -> None:
         """Lay and order everything anew: this life knows of nothing."""
@@ -183,48 +190,52 @@
         self._taken = None
         self._ordered_at = -_SETTLE_S
 
-    async def _fetch(self, newest: Aim, outlook: Outlook) -> None:
+    async def _fetch(self, newest: ModelVersion, outlook: PlanInputs) -> None:
         """Fetch what comes next, and what may be needed beside it.
 
         What came next before goes on until a newer version's manifest is here.
         """
-        if newest != self.aim and self._fetching.get(newest) is not None:
-            self.aim = newest
+        if newest != self.target and self._fetching.get(newest) is not None:
+            self.target = newest
             self._staged = 0
             self._complete_at = None
-        await self._fetching.want(tuple(self._wants(newest, outlook)))
-        if self.aim is not None:
-            self._fetching.prefer(self.aim)
+        await self._fetching.fetch_only(tuple(self._wants(newest, outlook)))
+        if self.target is not None:
+            self._fetching.prioritise(self.target)
 
-    def _wants(self, newest: Aim, outlook: Outlook) -> Iterator[Aim]:
+    def _wants(
+        self, newest: ModelVersion, outlook: PlanInputs
+    ) -> Iterator[ModelVersion]:
         yield newest
-        if self.aim is None:
+        if self.target is None:
             return
-        if self.aim != newest:
-            yield self.aim
+        if self.target != newest:
+            yield self.target
             return
-        after = Aim(newest.model, self._wanted.newest(newest.model))
-        brought = outlook.brought.get(newest.version)
+        after = ModelVersion(newest.model, self._wanted.newest(newest.model))
+        brought = outlook.progress.get(newest.version)
         if after == newest or brought is None:
             return
-        if self._plan.reads_ahead(brought):
+        if self._plan.may_read_ahead(brought):
             yield after
 
-    def _first_wave(self, aim: Aim) -> bool:
+    def _first_wave(self, target: ModelVersion) -> bool:
         return waves.in_first_wave(
             self._tools.me,
-            self.around.peers,
-            aim.name,
+            self.fleet.peers,
+            target.name,
         )
 
-    def _change_at(self, aim: Aim, report: EngineReport, now_s: float) -> float:
+    def _change_at(
+        self, target: ModelVersion, report: EngineReport, now_s: float
+    ) -> float:
         if self._complete_at is None:
             self._complete_at = now_s
-        cutoff = self._wanted.cutoff(aim.model, aim.version)
-        serves_nothing = not report.serving.get(aim.model, 0)
+        cutoff = self._wanted.cutoff(target.model, target.version)
+        serves_nothing = not report.serving.get(target.model, 0)
         if cutoff is None or serves_nothing:
             return now_s
-        first = self._first_wave(aim)
+        first = self._first_wave(target)
         return waves.change_at(
             self._complete_at,
             cutoff,
@@ -232,7 +243,7 @@
             first=first,
         )
 
-    def _newest(self, now: float) -> tuple[Aim, Outlook] | None:
+    def _newest(self, now: float) -> tuple[ModelVersion, PlanInputs] | None:
         """Give the version to bring next, and what that was planned by."""
         for model in self._wanted.models():
             serving = self.report.serving.get(model, 0) if self.report else 0
@@ -240,13 +251,13 @@
             if self._taken is not None and self._taken.model == model:
                 serving = max(serving, self._taken.version)
             outlook = self._outlook(model, serving, now)
-            version = self._plan.aim(self._wanted, outlook)
+            version = self._plan.choose_version(self._wanted, outlook)
             if version:
                 self._tell_plan(outlook, version)
-                return Aim(model, version), outlook
+                return ModelVersion(model, version), outlook
         return None
 
-    def _tell_plan(self, outlook: Outlook, version: int) -> None:
+    def _tell_plan(self, outlook: PlanInputs, version: int) -> None:
         if version == self._planned:
             return
         self._planned = version
@@ -254,72 +265,74 @@
             Event.VERSION_PLANNED,
             version=version,
             serving=outlook.serving,
-            before=outlook.aim,
+            before=outlook.planned,
             closing_in_s={
                 one: round(at - outlook.now, 1)
                 for one, at in self._wanted.cutoffs(outlook.model)
             },
             lacking={
-                one: found.lacking for one, found in outlook.brought.items()
+                one: found.missing for one, found in outlook.progress.items()
             },
             unread={
-                one: found.unread for one, found in outlook.brought.items()
+                one: found.unread for one, found in outlook.progress.items()
             },
         )
 
-    def _outlook(self, model: str, serving: int, now: float) -> Outlook:
-        brought = self._fetching.brought(model)
-        stands = self.aim if self.aim and self.aim.model == model else None
-        return Outlook(
+    def _outlook(self, model: str, serving: int, now: float) -> PlanInputs:
+        brought = self._fetching.progress_of(model)
+        stands = (
+            self.target if self.target and self.target.model == model else None
+        )
+        return PlanInputs(
             model,
             serving,
             stands.version if stands else 0,
             now,
             self.transfer_s,
-            self.around.chunk_origin_s,
+            self.fleet.chunk_origin_s,
             brought,
         )
 
-    async def _lay(self, aim: Aim, download: Download) -> None:
+    async def _lay(self, target: ModelVersion, download: Download) -> None:
         for index in chunks.indices(download.swarm.held & ~self._staged):
             chunk = self._tools.store.chunk(download.manifest, index)
             if chunk is not None:
-                await self._engine.stage(aim.model, index, chunk)
+                await self._engine.stage(target.model, index, chunk)
                 self._staged |= 1 << index
 
-    async def _take(self, aim: Aim, download: Download) -> None:
+    async def _take(self, target: ModelVersion, download: Download) -> None:
         now = self._tools.clock.now()
         if now - self._ordered_at < _SETTLE_S:
             return
-        if not await self._verified(aim, download):
+        if not await self._verified(target, download):
             return
         report = await self._engine.report()
         if report.changing or report.born != self._born:
             # What was read back lay at the life before.
             return
         answer = await self._engine.take(
-            aim.model,
-            aim.version,
+            target.model,
+            target.version,
             report.orders_taken,
         )
         log(
             Event.ORDER_GIVEN,
-            manifest=aim.name,
+            manifest=target.name,
             answer=answer.value,
             running=report.running,
         )
         if answer in {Order.TAKEN, Order.DONE}:
             self._ordered_at = now
-            self._taken = aim
+            self._taken = target
             self._wake.set()
 
-    async def _verified(self, aim: Aim, download: Download) -> bool:
+    async def _verified(self, target: ModelVersion, download: Download) -> bool:
         """Read back what lies there; lay again what is not as it should be."""
         digests = download.manifest.digests
         for index, digest in enumerate(digests):
-            chunk = await self._engine.read_staged(aim.model, index)
+            chunk = await self._engine.read_staged(target.model, index)
             found = b'' if chunk is None else hashlib.sha256(chunk).digest()
             if found != digest:
-                log(Event.CHUNK_BAD, manifest=aim.name, index=index)
+                log(Event.CHUNK_BAD, manifest=target.name, index=index)
                 self._staged &= ~(1 << index)
         return self._staged == chunks.full(len(digests))
--- a/src/linnetwood/weights/reading.py
+++ b/src/linnetwood/weights/reading.py
@@ -8,10 +8,14 @@
 from linnetwood.fleet.members import hash64
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
-from linnetwood.weights.takeover import Away, TakeOver, after_the_rest
+from linnetwood.weights.takeover import (
+    OriginFailure,
+    TakeoverPolicy,
+    after_unread_chunks,
+)
 
 _RING_POINTS = 16
-TAKERS = 3
+READERS_PER_CHUNK = 3
 # What a chunk takes to be told of.
 _SHOWN_S = 0.1
 
@@ -47,28 +51,30 @@
     def due_at(self, index: int, started: float) -> float | None:
         """Give the time from which this process may read the chunk."""
 
-    def again_at(self, index: int, away: Away) -> float:
+    def retry_at(self, index: int, failure: OriginFailure) -> float:
         """Give the time of the turn once an origin that failed is back."""
 
-    def alone_at(self, index: int, since: float) -> float:
+    def fallback_at(self, index: int, since: float) -> float:
         """Give the time to read what only VMs hold that are silent since."""
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give the bitmap of chunks whose readers this process is among."""
 
-    def takes_over(self, index: int) -> bool:
+    def is_takeover(self, index: int) -> bool:
         """Tell whether another process was to read the chunk first."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turns:
+class PreviousTurns:
     """Which chunks were this VM's to read before, and for how long."""
 
     chunks: int
     elapsed_s: float
 
 
-def _grace_s(index: int, before: Turns | None, cfg: SwarmOptions) -> float:
+def _grace_s(
+    index: int, before: PreviousTurns | None, cfg: SwarmOptions
+) -> float:
     if before is None or index < 0 or before.chunks >> index & 1:
         return 0
     return before.elapsed_s + cfg.takeover_s
@@ -89,8 +95,8 @@
         ring: Ring,
         count: int,
         cfg: SwarmOptions,
-        before: Turns | None = None,
-        takeover: TakeOver = after_the_rest,
+        before: PreviousTurns | None = None,
+        takeover: TakeoverPolicy = after_unread_chunks,
     ) -> None:
         """Work out this process's turns."""
         self._me = me
@@ -101,7 +107,7 @@
         self._due: dict[int, float] = {}
         self._ranks: dict[int, int] = {}
         for index in range(chunks.MANIFEST_INDEX, count):
-            readers = ring.readers(index, TAKERS)
+            readers = ring.readers(index, READERS_PER_CHUNK)
             if me in readers:
                 rank = readers.index(me)
                 self._ranks[index] = rank
@@ -115,19 +121,19 @@
         due = self._due.get(index)
         return None if due is None else started + due
 
-    def again_at(self, index: int, away: Away) -> float:
+    def retry_at(self, index: int, failure: OriginFailure) -> float:
         """Give the turn after a failure: by then every first turn is over.
 
         Without this all readers of a chunk would read it at the same time.
         """
         return self._takeover(
-            self._ranks.get(index, TAKERS),
-            away,
+            self._ranks.get(index, READERS_PER_CHUNK),
+            failure,
             self._cfg.takeover_s,
             self._cfg.chunk_origin_s,
         )
 
-    def alone_at(self, index: int, since: float) -> float:
+    def fallback_at(self, index: int, since: float) -> float:
         """Give the turn among all VMs, which are seldom all in reach.
 
         Each waits until the one before it could have shown the chunk.
@@ -138,11 +144,11 @@
             self._alone_s[index] = rank * (self._cfg.chunk_origin_s + _SHOWN_S)
         return since + self._alone_s[index]
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give the chunks for which this process is among the readers."""
         return self._turns
 
-    def takes_over(self, index: int) -> bool:
+    def is_takeover(self, index: int) -> bool:
         """Tell whether this process is not the first reader."""
         return self._ranks.get(index) != 0
 
@@ -187,15 +193,15 @@
         """Know how many chunks there are."""
         self._turns = chunks.full(count)
 
-    def alone_at(self, index: int, since: float) -> float:
+    def fallback_at(self, index: int, since: float) -> float:
         """Allow every chunk at once."""
         return since
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give every chunk."""
         return self._turns
 
-    def takes_over(self, index: int) -> bool:
+    def is_takeover(self, index: int) -> bool:
         """Take over from nobody."""
         return False
 
@@ -203,6 +209,6 @@
         """Allow every chunk at once."""
         return started
 
-    def again_at(self, index: int, away: Away) -> float:
+    def retry_at(self, index: int, failure: OriginFailure) -> float:
         """Allow every chunk at once."""
-        return away.failed_at
+        return failure.failed_at
--- a/src/linnetwood/weights/swarm.py
+++ b/src/linnetwood/weights/swarm.py
@@ -9,10 +9,10 @@
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.inflow import Flight, Inflow
-from linnetwood.weights.reading import TAKERS, DueTimes, OriginPolicy
+from linnetwood.weights.reading import READERS_PER_CHUNK, DueTimes, OriginPolicy
 from linnetwood.weights.silence import Silence
-from linnetwood.weights.takeover import Away
-from linnetwood.weights.versionplan import Brought
+from linnetwood.weights.takeover import OriginFailure
+from linnetwood.weights.versionplan import ChunkProgress
 
 ORIGIN = ''
 _SHUN_S = 60.0
@@ -109,7 +109,9 @@
         self._order = rng.sample(range(count), count)
         self._peers_next = False
         self._silence = Silence()
-        turns_s = count * cfg.chunk_origin_s + TAKERS * cfg.takeover_s
+        turns_s = (
+            count * cfg.chunk_origin_s + READERS_PER_CHUNK * cfg.takeover_s
+        )
         self._turns_over_at = now + turns_s
         # While another version comes first, only the origin is asked.
         self.ahead = False
@@ -312,7 +314,7 @@
 
     def _due(self, now: float) -> Iterator[int]:
         away = self._away(now)
-        for index in self._lacking(self.policy.turns()):
+        for index in self._lacking(self.policy.assigned()):
             due = None if self._rarity[index] else self._origin_due(index, away)
             if due is not None and due <= now:
                 yield index
@@ -322,10 +324,10 @@
             yield from (
                 chunk
                 for chunk in self._lacking(among)
-                if self.policy.alone_at(chunk, since) <= now
+                if self.policy.fallback_at(chunk, since) <= now
             )
 
-    def _away(self, now: float) -> Away | None:
+    def _away(self, now: float) -> OriginFailure | None:
         """Give what is known of the origin, if it failed."""
         if self._origin_failed_at is None:
             return None
@@ -335,13 +337,13 @@
             and known.bit_count() > self._known_count
         ):
             self._others_read_at = now
-        mine = chunks.indices(self.policy.turns() & ~known)
-        return Away(
+        mine = chunks.indices(self.policy.assigned() & ~known)
+        return OriginFailure(
             self._origin_failed_at,
             self._origin_answered_at,
             self._others_read_at,
             self.count - known.bit_count(),
-            not all(map(self.policy.takes_over, mine)),
+            not all(map(self.policy.is_takeover, mine)),
         )
 
     def _lacking(self, among: int) -> Iterator[int]:
@@ -351,11 +353,13 @@
             if among >> index & 1 and index not in self.pending:
                 yield index
 
-    def _origin_due(self, index: int, away: Away | None) -> float | None:
+    def _origin_due(
+        self, index: int, away: OriginFailure | None
+    ) -> float | None:
         due = self.policy.due_at(index, self.started)
         if due is None or away is None:
             return due
-        return max(due, self.policy.again_at(index, away))
+        return max(due, self.policy.retry_at(index, away))
 
     def _plan_peers(self, now: float) -> Iterator[Fetch]:
         asked = sum(
@@ -455,9 +459,9 @@
             self._rarity[index] += change
 
 
-def brought(swarm: Swarm) -> Brought:
+def brought(swarm: Swarm) -> ChunkProgress:
     """Tell how far a version is here."""
-    return Brought(
+    return ChunkProgress(
         swarm.count,
         swarm.count - swarm.held.bit_count(),
         swarm.count - swarm.known.bit_count(),
--- a/src/linnetwood/weights/takeover.py
+++ b/src/linnetwood/weights/takeover.py
@@ -18,27 +18,27 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Away:
+class OriginFailure:
     """What a VM knows of an origin that failed it; times in seconds."""
 
     failed_at: float
     # When it answered this VM since then.
     answered_at: float | None
     # When another was seen to hold more than at the failure.
-    others_at: float | None
+    seen_elsewhere_at: float | None
     # Chunks that nobody is known to hold.
     unread: int
     # Whether this VM is the first reader of one of these.
     is_first: bool
 
 
-class TakeOver(Protocol):
+class TakeoverPolicy(Protocol):
     """Decide when the reader of a rank may read after a failure."""
 
     def __call__(
         self,
         rank: int,
-        away: Away,
+        failure: OriginFailure,
         takeover_s: float,
         chunk_s: float,
     ) -> float:
@@ -48,19 +48,19 @@
         """
 
 
-def after_a_time(
+def after_fixed_wait(
     rank: int,
-    away: Away,
+    failure: OriginFailure,
     takeover_s: float,
     chunk_s: float,
 ) -> float:
     """Let each reader wait the same time for the one before it."""
-    return away.failed_at + rank * takeover_s
+    return failure.failed_at + rank * takeover_s
 
 
-def after_the_rest(
+def after_unread_chunks(
     rank: int,
-    away: Away,
+    failure: OriginFailure,
     takeover_s: float,
     chunk_s: float,
 ) -> float:
@@ -70,19 +70,19 @@
     reader of something learns that by its own read and by nothing else, since
     what others hold may have been read before.
     """
-    wait_s = rank * (takeover_s + away.unread * chunk_s)
-    back_at = away.answered_at
-    if back_at is None and not away.is_first:
-        back_at = away.others_at
+    wait_s = rank * (takeover_s + failure.unread * chunk_s)
+    back_at = failure.answered_at
+    if back_at is None and not failure.is_first:
+        back_at = failure.seen_elsewhere_at
     if back_at is None:
-        return away.failed_at + _UNTOLD_TIMES * wait_s
-    return max(away.failed_at, back_at) + wait_s
+        return failure.failed_at + _UNTOLD_TIMES * wait_s
+    return max(failure.failed_at, back_at) + wait_s
 
 
 AFTER_THE_REST: Final = 'after-the-rest'
 TAKEOVERS: Final = MappingProxyType(
     {
-        'after-a-time': after_a_time,
-        AFTER_THE_REST: after_the_rest,
+        'after-a-time': after_fixed_wait,
+        AFTER_THE_REST: after_unread_chunks,
     },
 )
--- a/src/linnetwood/weights/transfer.py
+++ b/src/linnetwood/weights/transfer.py
@@ -171,7 +171,7 @@
             self.swarm.failed(fetch.index, fetch.source)
 
     async def _from_origin(self, index: int) -> bytes:
-        if self.swarm.policy.takes_over(index):
+        if self.swarm.policy.is_takeover(index):
             log(Event.ORIGIN_TAKEN_OVER, manifest=self.name, index=index)
         chunk = await self._tools.origin.read(self.name, index)
         self.swarm.origin_answered(self._tools.clock.now())
--- a/src/linnetwood/weights/versionplan.py
+++ b/src/linnetwood/weights/versionplan.py
@@ -24,46 +24,50 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Brought:
+class ChunkProgress:
     """How far a version is here, in chunks."""
 
     count: int
     # Not here yet.
-    lacking: int
+    missing: int
     # Not here, and known nowhere but at the origin.
     unread: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outlook:
+class PlanInputs:
     """What one VM plans by; times in seconds."""
 
     model: str
     serving: int
     # What comes next by the plan that stands; 0 for none.
-    aim: int
+    planned: int
     now: float
     # A whole version over this VM's link, and a chunk over the origin's.
     transfer_s: float
     chunk_origin_s: float
     # By version, those whose manifest is here.
-    brought: Mapping[int, Brought]
+    progress: Mapping[int, ChunkProgress]
 
 
 class VersionPlan(Protocol):
     """Plan what an engine gets; all VMs plan by the same times."""
 
-    def aim(self, wanted: WantedVersions, outlook: Outlook) -> int:
+    def choose_version(
+        self, wanted: WantedVersions, outlook: PlanInputs
+    ) -> int:
         """Give the version to bring next; 0 if none is known."""
 
-    def reads_ahead(self, brought: Brought) -> bool:
+    def may_read_ahead(self, brought: ChunkProgress) -> bool:
         """Tell whether the version after one so far here may be read."""
 
 
 class ByNaming:
     """Weigh versions once, by when they were named and the link alone."""
 
-    def aim(self, wanted: WantedVersions, outlook: Outlook) -> int:
+    def choose_version(
+        self, wanted: WantedVersions, outlook: PlanInputs
+    ) -> int:
         """Give the version to bring next."""
         return wanted.next_target(
             outlook.model,
@@ -72,9 +76,9 @@
             outlook.now,
         )
 
-    def reads_ahead(self, brought: Brought) -> bool:
+    def may_read_ahead(self, brought: ChunkProgress) -> bool:
         """Read the next version when this one is whole."""
-        return not brought.lacking
+        return not brought.missing
 
 
 class ByForecast:
@@ -84,7 +88,9 @@
     that one has left it, since the origin's link is free then.
     """
 
-    def aim(self, wanted: WantedVersions, outlook: Outlook) -> int:
+    def choose_version(
+        self, wanted: WantedVersions, outlook: PlanInputs
+    ) -> int:
         """Give the version with which calls are without one least."""
         newest = wanted.newest(outlook.model)
         without_s = {
@@ -94,12 +100,12 @@
         if not without_s:
             return newest
         best = min(without_s, key=lambda version: (without_s[version], version))
-        stands = without_s.get(outlook.aim)
+        stands = without_s.get(outlook.planned)
         if stands is not None and stands - without_s[best] < _WORTH_A_CHANGE_S:
-            return outlook.aim
+            return outlook.planned
         return best
 
-    def reads_ahead(self, brought: Brought) -> bool:
+    def may_read_ahead(self, brought: ChunkProgress) -> bool:
         """Read the next version when all of this one has left the origin."""
         return not brought.unread
 
@@ -111,7 +117,7 @@
 
 def _candidates(
     wanted: WantedVersions,
-    outlook: Outlook,
+    outlook: PlanInputs,
     newest: int,
 ) -> Iterator[int]:
     for version, _ in wanted.cutoffs(outlook.model):
@@ -121,7 +127,7 @@
 
 def _without_s(
     wanted: WantedVersions,
-    outlook: Outlook,
+    outlook: PlanInputs,
     version: int,
     newest: int,
 ) -> float:
@@ -131,7 +137,7 @@
     """
     first = _brought(outlook, version)
     read_s = first.unread * outlook.chunk_origin_s
-    here_s = max(read_s, first.lacking * outlook.transfer_s / first.count)
+    here_s = max(read_s, first.missing * outlook.transfer_s / first.count)
     ready_s = here_s + ENGINE_SWITCH_S
     closes_s = _closes_s(wanted, outlook, outlook.serving)
     without_s = max(0, ready_s - closes_s)
@@ -140,7 +146,7 @@
     last = _brought(outlook, newest)
     last_s = max(
         read_s + last.unread * outlook.chunk_origin_s,
-        here_s + last.lacking * outlook.transfer_s / last.count,
+        here_s + last.missing * outlook.transfer_s / last.count,
     )
     closes_s = max(ready_s, _closes_s(wanted, outlook, version))
     without_s += max(0, last_s + ENGINE_SWITCH_S - closes_s)
@@ -149,7 +155,7 @@
 
 def _closes_s(
     wanted: WantedVersions,
-    outlook: Outlook,
+    outlook: PlanInputs,
     version: int,
 ) -> float:
     """Give in how many seconds calls start on a version no more."""
@@ -158,10 +164,12 @@
     return max(0, min(closing, default=math.inf) - outlook.now)
 
 
-def _brought(outlook: Outlook, version: int) -> Brought:
+def _brought(outlook: PlanInputs, version: int) -> ChunkProgress:
     """Give how far a version is here; all is lacking before its manifest is."""
-    found = outlook.brought.get(version)
+    found = outlook.progress.get(version)
     if found is not None:
         return found
-    counts = [one.count for one in outlook.brought.values()] or [_UNKNOWN_COUNT]
-    return Brought(counts[0], counts[0], counts[0])
+    counts = [one.count for one in outlook.progress.values()] or [
+        _UNKNOWN_COUNT
+    ]
+    return ChunkProgress(counts[0], counts[0], counts[0])
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -146,8 +146,8 @@
             7700,
             self.decisions,
         )
-        self.follower.around.peers = {ME: 'z1'}
-        self.follower.around.origin_bytes_per_s = 1.0e9
+        self.follower.fleet.peers = {ME: 'z1'}
+        self.follower.fleet.origin_bytes_per_s = 1.0e9
         self.follower.start()
 
     async def asyncTearDown(self) -> None:
@@ -194,8 +194,8 @@
         fetching = self.follower._fetching
         with mock.patch.object(
             fetching,
-            'brought',
-            side_effect=fetching.brought,
+            'progress_of',
+            side_effect=fetching.progress_of,
         ) as brought:
             await self.follower._step()
         self.assertEqual(brought.call_count, 1)
@@ -287,7 +287,7 @@
         self.origin.spoils = {0}
         self.wanted.add_named('m', 2, now)
         self.follower.report = await self.engine.report()
-        while self.follower.aim is None:
+        while self.follower.target is None:
             self.follower.wake()
             await asyncio.sleep(0)
         self.wanted.add_named('m', 3, now + 1)
--- a/tests/test_silent_peers.py
+++ b/tests/test_silent_peers.py
@@ -7,7 +7,7 @@
 from linnetwood.gen.schema.ttypes import Intent
 from linnetwood.gen.wire.ttypes import ChunkReply
 from linnetwood.weights import chunks
-from linnetwood.weights.fetching import Aim, Fetching
+from linnetwood.weights.fetching import ModelVersion, VersionDownloads
 from linnetwood.weights.keeper import Target
 from linnetwood.wire import frames
 from linnetwood.wire.codec import encode
@@ -20,7 +20,7 @@
 SILENT = '127.0.0.2'
 HALF = '127.0.0.3'
 SLOW = '127.0.0.4'
-AIM = Aim('m', 2)
+AIM = ModelVersion('m', 2)
 WANTED = manifest(AIM.version)
 NAME = chunks.name_of(WANTED.encode())
 SLOW_S = 3
@@ -111,14 +111,14 @@
         peers = Peers(AIM.name)
         origin = FakeOrigin()
         origin.away = True
-        fetching = Fetching(
+        fetching = VersionDownloads(
             self.slot.agent._tools,
             FakeEngine(),
             origin,
             await peers.start(),
             asyncio.Event().set,
         )
-        fetching.around.peers = {SILENT: 'z', HALF: 'z', SLOW: 'z'}
+        fetching.fleet.peers = {SILENT: 'z', HALF: 'z', SLOW: 'z'}
         async with asyncio.timeout(GUARD_S):
             found = await fetching._manifest(AIM)
         await fetching.close()
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -9,9 +9,14 @@
 from linnetwood.weights import chunks
 from linnetwood.weights.bounds import SwarmOptions
 from linnetwood.weights.inflow import Inflow
-from linnetwood.weights.reading import DirectReading, Ring, SharedReading, Turns
+from linnetwood.weights.reading import (
+    DirectReading,
+    Ring,
+    SharedReading,
+    PreviousTurns,
+)
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
-from linnetwood.weights.takeover import Away
+from linnetwood.weights.takeover import OriginFailure
 
 COUNT = 8
 # What a chunk takes on a link of the stated rate.
@@ -21,11 +26,11 @@
 class Nobody:
     """Never read from the origin."""
 
-    def again_at(self, index: int, away: Away) -> float:
+    def retry_at(self, index: int, away: OriginFailure) -> float:
         """Give some time; there is no turn."""
         return away.failed_at
 
-    def alone_at(self, index: int, since: float) -> float:
+    def fallback_at(self, index: int, since: float) -> float:
         """Give no time."""
         return math.inf
 
@@ -33,11 +38,11 @@
         """Give no time."""
         return None
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give no chunk."""
         return 0
 
-    def takes_over(self, index: int) -> bool:
+    def is_takeover(self, index: int) -> bool:
         """Take over nothing."""
         return False
 
@@ -158,7 +163,7 @@
         """A turn that came with a change of the fleet waits a window."""
         cfg = SwarmOptions(chunk_origin_s=1, takeover_s=10)
         ring = Ring('m', ['a'])
-        before = Turns(0b1, 5)
+        before = PreviousTurns(0b1, 5)
         policy = SharedReading('a', ring, COUNT, cfg, before)
         self.assertEqual([policy.due_at(one, 0) for one in (0, 1)], [0, 15])
 
@@ -277,7 +282,7 @@
         """Give a turn at once."""
         return started if self._among >> index & 1 else None
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give the chunks to read."""
         return self._among
 
@@ -417,7 +422,7 @@
         """Give the start."""
         return started
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give every chunk."""
         return chunks.full(COUNT)
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -4,9 +4,9 @@
 
 from linnetwood.weights.takeover import (
     TAKEOVERS,
-    Away,
-    after_a_time,
-    after_the_rest,
+    OriginFailure,
+    after_fixed_wait,
+    after_unread_chunks,
 )
 
 TAKEOVER_S = 1.0
@@ -16,21 +16,23 @@
 
 def away(
     answered_at: float | None,
-    others_at: float | None = None,
+    seen_elsewhere_at: float | None = None,
     unread: int = 40,
     *,
     is_first: bool = True,
-) -> Away:
+) -> OriginFailure:
     """Give what is known of an origin that failed at a time."""
-    return Away(FAILED_AT, answered_at, others_at, unread, is_first)
+    return OriginFailure(
+        FAILED_AT, answered_at, seen_elsewhere_at, unread, is_first
+    )
 
 
 class TakeOverTest(unittest.TestCase):
     """Each rank of reader, with more or less known."""
 
-    def due(self, rank: int, seen: Away) -> float:
+    def due(self, rank: int, seen: OriginFailure) -> float:
         """Ask the way that waits for the rest."""
-        return after_the_rest(rank, seen, TAKEOVER_S, CHUNK_S)
+        return after_unread_chunks(rank, seen, TAKEOVER_S, CHUNK_S)
 
     def test_the_first_reader_tries_at_once(self) -> None:
         """It finds out whether the origin is back; pauses are another's."""
@@ -61,7 +63,7 @@
     def test_by_time_alone(self) -> None:
         """Each rank waits a time."""
         self.assertEqual(
-            after_a_time(2, away(12), TAKEOVER_S, CHUNK_S),
+            after_fixed_wait(2, away(12), TAKEOVER_S, CHUNK_S),
             FAILED_AT + 2 * TAKEOVER_S,
         )
 
--- a/tests/test_versionplan.py
+++ b/tests/test_versionplan.py
@@ -15,10 +15,10 @@
 from linnetwood.weights.takeover import TAKEOVERS
 from linnetwood.weights.versionplan import (
     PLANS,
-    Brought,
+    ChunkProgress,
     ByForecast,
     ByNaming,
-    Outlook,
+    PlanInputs,
     VersionPlan,
 )
 
@@ -26,7 +26,7 @@
 TRANSFER_S = 7.2
 CHUNK_ORIGIN_S = 0.045
 COUNT = 96
-ALL = Brought(COUNT, COUNT, COUNT)
+ALL = ChunkProgress(COUNT, COUNT, COUNT)
 AWAY = Place(named=(0, 2), away=(2.5, 8.5))
 
 
@@ -41,15 +41,15 @@
 
 def outlook(
     now: float,
-    *brought: Brought,
+    *brought: ChunkProgress,
     serving: int = 1,
-    aim: int = 0,
-) -> Outlook:
+    planned: int = 0,
+) -> PlanInputs:
     """Look out where so much of the versions from the second on is here."""
-    return Outlook(
+    return PlanInputs(
         'm',
         serving,
-        aim,
+        planned,
         now,
         TRANSFER_S,
         CHUNK_ORIGIN_S,
@@ -60,15 +60,17 @@
 class PlanTest(unittest.TestCase):
     """Which version comes next, by what is left to bring."""
 
-    def aim(self, wanted: WantedVersions, seen: Outlook) -> int:
+    def aim(self, wanted: WantedVersions, seen: PlanInputs) -> int:
         """Ask the plan that is in force."""
-        return ByForecast().aim(wanted, seen)
+        return ByForecast().choose_version(wanted, seen)
 
     def test_nothing_is_named(self) -> None:
         """What serves is wanted, as in the plan by names."""
         for plan in (ByForecast(), ByNaming()):
-            self.assertEqual(plan.aim(named(), outlook(0)), 1)
-            self.assertEqual(plan.aim(WantedVersions(9), outlook(0)), 0)
+            self.assertEqual(plan.choose_version(named(), outlook(0)), 1)
+            self.assertEqual(
+                plan.choose_version(WantedVersions(9), outlook(0)), 0
+            )
 
     def test_one_is_named(self) -> None:
         """It is next, however late it is."""
@@ -82,7 +84,7 @@
     def test_the_newer_comes_too_late_for_the_older_one_s_bound(self) -> None:
         """The older one comes first, while it helps."""
         wanted = named(0, 9)
-        half = Brought(COUNT, 20, 0)
+        half = ChunkProgress(COUNT, 20, 0)
         self.assertEqual(self.aim(wanted, outlook(9, half, ALL)), 2)
 
     def test_both_can_be_whole_in_time(self) -> None:
@@ -92,23 +94,23 @@
         bound; one after the other, both come about in time.
         """
         wanted = named(0, 4)
-        half = Brought(COUNT, 48, 10)
-        for aim in (0, 2):
-            seen = outlook(4, half, ALL, aim=aim)
+        half = ChunkProgress(COUNT, 48, 10)
+        for planned in (0, 2):
+            seen = outlook(4, half, ALL, planned=planned)
             self.assertEqual(self.aim(wanted, seen), 2)
 
     def test_little_is_saved_by_giving_up_what_is_half_here(self) -> None:
         """Less than transfers are reckoned wrong by, so the plan stands."""
-        seen = outlook(4, Brought(COUNT, 56, 15), ALL, aim=2)
+        seen = outlook(4, ChunkProgress(COUNT, 56, 15), ALL, planned=2)
         self.assertEqual(self.aim(named(0, 4), seen), 2)
 
     def test_the_older_is_hopeless(self) -> None:
         """It could only serve when calls may start on it no more."""
         wanted = named(0, 4)
         late = 4 + BOUND_S - SEND_MARGIN_S - 3
-        seen = outlook(late, Brought(COUNT, 40, 40), ALL, aim=2)
+        seen = outlook(late, ChunkProgress(COUNT, 40, 40), ALL, planned=2)
         self.assertEqual(self.aim(wanted, seen), 3)
-        seen = outlook(late, Brought(COUNT, 0, 0), ALL, aim=2)
+        seen = outlook(late, ChunkProgress(COUNT, 0, 0), ALL, planned=2)
         self.assertEqual(self.aim(wanted, seen), 2)
 
     def test_what_serves_is_not_brought_again(self) -> None:
@@ -120,21 +122,23 @@
         """VMs that go back and forth bring neither."""
         wanted = named(0, 4)
         fresh = [
-            self.aim(wanted, outlook(4, Brought(COUNT, left, left), ALL))
+            self.aim(wanted, outlook(4, ChunkProgress(COUNT, left, left), ALL))
             for left in range(COUNT + 1)
         ]
         edge = fresh.index(3)
-        for aim in (2, 3):
-            near = Brought(COUNT, edge, edge)
-            seen = outlook(4, near, ALL, aim=aim)
-            self.assertEqual(self.aim(wanted, seen), aim)
+        for planned in (2, 3):
+            near = ChunkProgress(COUNT, edge, edge)
+            seen = outlook(4, near, ALL, planned=planned)
+            self.assertEqual(self.aim(wanted, seen), planned)
 
     def test_reading_ahead(self) -> None:
         """The origin's link is free when all of a version has left it."""
-        brought = Brought(COUNT, 30, 0)
-        self.assertTrue(ByForecast().reads_ahead(brought))
-        self.assertFalse(ByNaming().reads_ahead(brought))
-        self.assertFalse(ByForecast().reads_ahead(Brought(COUNT, 30, 1)))
+        brought = ChunkProgress(COUNT, 30, 0)
+        self.assertTrue(ByForecast().may_read_ahead(brought))
+        self.assertFalse(ByNaming().may_read_ahead(brought))
+        self.assertFalse(
+            ByForecast().may_read_ahead(ChunkProgress(COUNT, 30, 1))
+        )
 
 
 class LoadTest(unittest.TestCase):
