--- a/src/linnetwood/weights/__init__.py
+++ b/src/linnetwood/weights/__init__.py
@@ -1,4 +1,4 @@
-"""The path of weights from the origin to an engine.
+"""Transfer of weights from the origin to an engine.
 
-A wanted version comes in; checked chunks, orders and a serving engine go out.
+Input: the wanted versions. Output: verified chunks, orders, a serving engine.
 """
--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -22,9 +22,9 @@
 from linnetwood.weights.reading import (
     DirectReading,
     OriginPolicy,
+    PreviousTurns,
     Ring,
     SharedReading,
-    PreviousTurns,
 )
 from linnetwood.weights.staging import Staging
 from linnetwood.weights.transfer import Download, Tools
--- a/src/linnetwood/weights/fetching.py
+++ b/src/linnetwood/weights/fetching.py
@@ -1,4 +1,4 @@
-"""Fetch the versions that are wanted here, each by a download of its own."""
+"""Download the versions that this VM wants, each independently."""
 
 import asyncio
 import dataclasses
@@ -20,52 +20,54 @@
 
 _MANIFEST_RETRY_S = 0.3
 _TAKEOVER_S = 1.0
-# Four chunks may wait before one at a peer: 0.3 s on the narrowest links.
+# Up to 4 chunks may be queued before a requested one at a peer, which takes
+# 0.3 s on the narrowest links.
 _SILENCE_S = 0.8
-# A chunk needs 54 ms on the narrowest links, and 96 of them come one by one.
-_FAR_TAKEOVER_S = 3.0
-# Ten words a second of 60 bytes to each while chunks come: a twentieth of the
-# narrowest links that were met.
-_NEAR_PARTNERS = 24
+# A chunk takes 54 ms on the narrowest links, and the 96 chunks of a version
+# arrive one after the other.
+_REMOTE_TAKEOVER_S = 3.0
+# Each partner gets 10 notices of 60 bytes a second while chunks arrive: 1/20 of
+# the bandwidth of the narrowest links.
+_ZONE_PARTNERS = 24
 
 
-# By manifest: the peers of which they were worked out, and the partners.
+# By manifest: the peers that the partners were chosen from, and the partners.
 _Partners = dict[str, tuple[dict[str, str], list[str]]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelVersion:
-    """A version to bring to the engine."""
+    """A version of a model."""
 
     model: str
     version: int
 
     @property
     def name(self) -> str:
-        """Name its manifest."""
+        """Return the name of its manifest."""
         return f'{self.model}@{self.version}'
 
 
 @dataclasses.dataclass(slots=True)
 class FleetInfo:
-    """What entries told of the fleet: zones by host of peer, and the origin."""
+    """What entries reported: zones by peer host, and figures of the origin."""
 
     peers: dict[str, str] = dataclasses.field(default_factory=dict)
     origin_bytes_per_s: float = 1.0e6
-    # Of every chunk; 0 where no entry has told it yet.
+    # The size of a chunk; 0 until an entry reports it.
     chunk_bytes: int = 0
 
     @property
     def chunk_origin_s(self) -> float:
-        """Give the seconds of a chunk on the origin's link."""
+        """Return the seconds that a chunk takes on the origin's link."""
         return self.chunk_bytes / max(1, self.origin_bytes_per_s)
 
 
 class VersionDownloads:
-    """Own the downloads of the versions that are wanted.
+    """Own the downloads of the wanted versions.
 
-    A version's download begins once its manifest is here. Nothing waits for
-    that: what was begun before goes on.
+    A version's download starts once its manifest has been received. Downloads
+    that already run continue meanwhile.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
         wake: Callable[[], None],
         takeover: TakeoverPolicy = after_unread_chunks,
     ) -> None:
-        """Fetch nothing yet; wake the owner whenever a download begins."""
+        """Fetch nothing yet; call wake whenever a download starts."""
         self._takeover = takeover
         self.fleet = FleetInfo()
         self._tools = tools
@@ -90,44 +92,49 @@
             tools.rng,
         )
         self._port = wire_port
-        self._wake_owner = wake
-        self._recovered: set[str] = set()
-        self._beginning: dict[ModelVersion, asyncio.Task[None]] = {}
+        self._on_start = wake
+        self._recovered_models: set[str] = set()
+        self._starting: dict[ModelVersion, asyncio.Task[None]] = {}
         self._downloads: dict[ModelVersion, Download] = {}
-        self._met: dict[ModelVersion, dict[str, str]] = {}
+        self._routed_peers: dict[ModelVersion, dict[str, str]] = {}
         self._partners: _Partners = {}
 
-    def get(self, aim: ModelVersion) -> Download | None:
-        """Give the download of a version, if it has begun."""
-        return self._downloads.get(aim)
-
-    async def fetch_only(self, aims: Sequence[ModelVersion]) -> None:
-        """Fetch these versions and no others."""
-        for aim in list(self._beginning):
-            if aim not in aims:
-                await _cancelled(self._beginning.pop(aim))
-        for aim in list(self._downloads):
-            if aim not in aims:
-                await self._drop(aim)
-        for aim in aims:
-            if aim not in self._beginning and aim not in self._downloads:
-                self._beginning[aim] = asyncio.create_task(self._begin(aim))
-        for aim, download in self._downloads.items():
-            self._meet_peers(aim, download)
+    def get(self, version_key: ModelVersion) -> Download | None:
+        """Return the download of a version, or None before it started."""
+        return self._downloads.get(version_key)
+
+    async def fetch_only(self, version_keys: Sequence[ModelVersion]) -> None:
+        """Fetch these versions and stop all other downloads."""
+        for version_key in list(self._starting):
+            if version_key not in version_keys:
+                await _cancel(self._starting.pop(version_key))
+        for version_key in list(self._downloads):
+            if version_key not in version_keys:
+                await self._drop(version_key)
+        for version_key in version_keys:
+            if (
+                version_key not in self._starting
+                and version_key not in self._downloads
+            ):
+                self._starting[version_key] = asyncio.create_task(
+                    self._start_download(version_key)
+                )
+        for version_key, download in self._downloads.items():
+            self._update_peers(version_key, download)
 
     def prioritise(self, first: ModelVersion) -> None:
-        """Ask peers for nothing else until this version is whole."""
+        """Request other versions from peers only when this one is complete."""
         download = self._downloads.get(first)
         pending = download is not None and not download.swarm.complete
-        for aim, other in self._downloads.items():
-            other.swarm.ahead = pending and aim != first
+        for version_key, other in self._downloads.items():
+            other.swarm.ahead = pending and version_key != first
 
     def progress_of(self, model: str) -> dict[int, ChunkProgress]:
-        """Give how far each version of a model is here."""
+        """Return the progress of each version of a model."""
         return {
-            aim.version: brought(download.swarm)
-            for aim, download in self._downloads.items()
-            if aim.model == model
+            version_key.version: brought(download.swarm)
+            for version_key, download in self._downloads.items()
+            if version_key.model == model
         }
 
     async def close(self) -> None:
@@ -136,33 +143,34 @@
         self._tools.fetcher.close()
 
     def add_notice(self, notice: HeldNotice) -> None:
-        """Take in what a peer holds."""
+        """Record which chunks a peer holds."""
         self._manifests.noticed(notice.manifest, notice.sender)
         for download in self._downloads.values():
             if download.name == notice.manifest:
                 download.notice(notice)
 
     def partners(self, manifest: str) -> list[str]:
-        """Give the hosts with which a version's chunks are exchanged.
+        """Return the hosts with which a version's chunks are exchanged.
 
-        Both sides of a pair choose each other. Those of the zone spread what
-        has come into it; of all others a random graph keeps the way from any
-        holder short, and word of what is held bounded.
+        Both sides of a pair choose each other. Partners in the zone distribute
+        the chunks that have reached it. Partners among all VMs form a random
+        graph, which keeps paths from any holder short and bounds the number of
+        notices about held chunks.
         """
         me = self._tools.me
         peers = self.fleet.peers
         known = self._partners.get(manifest)
         if known is not None and known[0] == peers:
             return known[1]
-        near = partners(me, self._near(), manifest, _NEAR_PARTNERS)
+        near = partners(me, self._zone_vms(), manifest, _ZONE_PARTNERS)
         far = partners(me, peers, manifest, self._tools.cfg.neighbours)
         found = sorted({*near, *far})
-        self._partners = self._fetched(self._partners)
+        self._partners = self._drop_unused(self._partners)
         self._partners[manifest] = (peers, found)
         return found
 
     def notices(self) -> list[HeldNotice]:
-        """Tell what is held here of the versions that are fetched."""
+        """Return which chunks of the fetched versions this VM holds."""
         uploads = self._tools.uploads
         return [
             HeldNotice(
@@ -174,113 +182,124 @@
             for download in self._downloads.values()
         ]
 
-    def _fetched(
+    def _drop_unused(
         self,
         known: _Partners,
     ) -> _Partners:
-        """Leave out what belongs to versions that are fetched no more."""
-        fetched = {aim.name for aim in (*self._beginning, *self._downloads)}
-        return {name: one for name, one in known.items() if name in fetched}
-
-    async def _begin(self, aim: ModelVersion) -> None:
-        manifest = await self._sought(aim)
-        self._beginning.pop(aim, None)
-        self._keep_for_peers(aim, manifest)
+        """Return the entries of those versions that are still fetched."""
+        fetched = {
+            version_key.name
+            for version_key in (*self._starting, *self._downloads)
+        }
+        return {
+            name: cached for name, cached in known.items() if name in fetched
+        }
+
+    async def _start_download(self, version_key: ModelVersion) -> None:
+        manifest = await self._wait_for_manifest(version_key)
+        self._starting.pop(version_key, None)
+        self._retain_manifests(version_key, manifest)
         cfg = self._options(manifest)
-        policy, far = self._turns(aim, len(manifest.digests), cfg)
-        download = Download(aim.name, manifest, self._tools, policy, cfg, far)
-        self._downloads[aim] = download
+        policy, far = self._reading_policies(
+            version_key, len(manifest.digests), cfg
+        )
+        download = Download(
+            version_key.name, manifest, self._tools, policy, cfg, far
+        )
+        self._downloads[version_key] = download
         download.start()
         log(
             Event.TRANSFER_STARTED,
-            manifest=aim.name,
+            manifest=version_key.name,
             held=download.swarm.held.bit_count(),
             chunks=len(manifest.digests),
             peers=len(self.fleet.peers),
         )
-        self._wake_owner()
+        self._on_start()
 
-    def _keep_for_peers(
-        self, aim: ModelVersion, manifest: chunks.Manifest
+    def _retain_manifests(
+        self, version_key: ModelVersion, manifest: chunks.Manifest
     ) -> None:
-        """Keep what is fetched, and the last version before: peers may ask."""
+        """Keep fetched versions and the previous one for requests of peers."""
         uploads = self._tools.uploads
         fetched = {download.name for download in self._downloads.values()}
         kept = dict(list(uploads.manifests.items())[-1:])
         for name, known in uploads.manifests.items():
             if name in fetched:
                 kept[name] = known
-        uploads.manifests = {**kept, aim.name: manifest}
+        uploads.manifests = {**kept, version_key.name: manifest}
         self._tools.store.drop_all_but(list(uploads.manifests.values()))
 
-    async def _drop(self, aim: ModelVersion) -> None:
-        log(Event.TRANSFER_DROPPED, manifest=aim.name)
-        self._met.pop(aim, None)
-        await self._downloads.pop(aim).close()
+    async def _drop(self, version_key: ModelVersion) -> None:
+        log(Event.TRANSFER_DROPPED, manifest=version_key.name)
+        self._routed_peers.pop(version_key, None)
+        await self._downloads.pop(version_key).close()
 
-    async def _sought(self, aim: ModelVersion) -> chunks.Manifest:
+    async def _wait_for_manifest(
+        self, version_key: ModelVersion
+    ) -> chunks.Manifest:
         while True:
             try:
-                manifest = await self._manifest(aim)
-                await self._recover(aim, manifest)
+                manifest = await self._manifest(version_key)
+                await self._recover_staged(version_key, manifest)
             except LinnetwoodError as exc:
                 log(Event.ORDER_REFUSED, code=exc.code, detail=exc.detail)
                 await asyncio.sleep(_MANIFEST_RETRY_S)
             else:
                 return manifest
 
-    async def _manifest(self, aim: ModelVersion) -> chunks.Manifest:
-        known = self._tools.uploads.manifests.get(aim.name)
+    async def _manifest(self, version_key: ModelVersion) -> chunks.Manifest:
+        known = self._tools.uploads.manifests.get(version_key.name)
         if known is not None:
             return known
         return await self._manifests.find(
-            aim.model,
-            aim.version,
-            self._near(),
+            version_key.model,
+            version_key.version,
+            self._zone_vms(),
             self.partners,
         )
 
-    async def _recover(
-        self, aim: ModelVersion, manifest: chunks.Manifest
+    async def _recover_staged(
+        self, version_key: ModelVersion, manifest: chunks.Manifest
     ) -> None:
-        """Take back what the engine still has staged: this process forgot."""
-        if aim.model in self._recovered:
+        """Restore chunks staged at the engine before this process restarted."""
+        if version_key.model in self._recovered_models:
             return
-        for index in await self._engine.staged(aim.model):
+        for index in await self._engine.staged(version_key.model):
             if index >= len(manifest.digests):
                 continue
-            chunk = await self._engine.read_staged(aim.model, index)
+            chunk = await self._engine.read_staged(version_key.model, index)
             if chunk is not None:
                 self._tools.store.keep(manifest, index, chunk)
-        self._recovered.add(aim.model)
+        self._recovered_models.add(version_key.model)
 
-    def _turns(
+    def _reading_policies(
         self,
-        aim: ModelVersion,
+        version_key: ModelVersion,
         count: int,
         cfg: SwarmOptions,
     ) -> tuple[SharedReading, ZoneReading]:
         me = self._tools.me
-        near = self._near()
-        everyone = Ring(aim.name, {*self.fleet.peers, me})
+        near = self._zone_vms()
+        all_vms = Ring(version_key.name, {*self.fleet.peers, me})
         return (
             SharedReading(
                 me,
-                everyone,
+                all_vms,
                 count,
                 cfg,
                 takeover=self._takeover,
             ),
             ZoneReading(
                 me,
-                Ring(aim.name, near),
+                Ring(version_key.name, near),
                 len(near),
                 count,
-                _FAR_TAKEOVER_S,
+                _REMOTE_TAKEOVER_S,
             ),
         )
 
-    def _near(self) -> set[str]:
+    def _zone_vms(self) -> set[str]:
         peers = self.fleet.peers
         zone = peers.get(self._tools.me)
         return {vm for vm, place in peers.items() if place == zone} | {
@@ -298,24 +317,28 @@
             silence_s=_SILENCE_S,
         )
 
-    def _meet_peers(self, aim: ModelVersion, download: Download) -> None:
-        if self._met.get(aim) == self.fleet.peers:
+    def _update_peers(
+        self, version_key: ModelVersion, download: Download
+    ) -> None:
+        if self._routed_peers.get(version_key) == self.fleet.peers:
             return
-        self._met[aim] = self.fleet.peers
+        self._routed_peers[version_key] = self.fleet.peers
         cfg = self._options(download.manifest)
-        download.swarm.reroute(*self._turns(aim, download.swarm.count, cfg))
-        near = self._near()
-        hosts = self.partners(aim.name)
-        download.neighbours([_member(host, self._port) for host in hosts])
+        download.swarm.reroute(
+            *self._reading_policies(version_key, download.swarm.count, cfg)
+        )
+        near = self._zone_vms()
+        hosts = self.partners(version_key.name)
+        download.neighbours([_host_member(host, self._port) for host in hosts])
         download.nearby(near)
 
 
-async def _cancelled(task: asyncio.Task[None]) -> None:
+async def _cancel(task: asyncio.Task[None]) -> None:
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
 
-def _member(host: str, port: int) -> Member:
+def _host_member(host: str, port: int) -> Member:
     return Member(
         vm=host,
         incarnation=0,
--- a/src/linnetwood/weights/follower.py
+++ b/src/linnetwood/weights/follower.py
@@ -1,4 +1,4 @@
-"""Bring the wanted versions to the engine of this VM, over the swarm."""
+"""Load the wanted versions on this VM's engine, fetched from the swarm."""
 
 import asyncio
 import hashlib
@@ -24,7 +24,7 @@
 _WAKE_S = 0.1
 _SETTLE_S = 3.0
 _RETRY_S = 0.3
-_BY_DEFAULT = Decisions()
+_DEFAULT_DECISIONS = Decisions()
 
 
 class OriginChunks:
@@ -41,7 +41,7 @@
 
 
 class VersionFollower:
-    """Own what lies at one engine and the orders that it gets."""
+    """Own the chunks staged at one engine and the orders that it gets."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         origin: Origin,
         wanted: WantedVersions,
         wire_port: int,
-        decisions: Decisions = _BY_DEFAULT,
+        decisions: Decisions = _DEFAULT_DECISIONS,
     ) -> None:
         """Follow nothing yet."""
         self._plan = PLANS[decisions.version_plan]
-        self._planned = 0
+        self._logged_version = 0
         self.transfer_s = float()
         self.report: EngineReport | None = None
         self.target: ModelVersion | None = None
@@ -62,7 +62,7 @@
         self._engine = engine
         self._wanted = wanted
         self._wake = asyncio.Event()
-        self._fetching = VersionDownloads(
+        self._downloads = VersionDownloads(
             tools,
             engine,
             origin,
@@ -70,42 +70,42 @@
             self._wake.set,
             TAKEOVERS[decisions.takeover],
         )
-        # A bit for each chunk that was laid there.
+        # A bit for each chunk that is staged at the engine.
         self._staged = 0
-        self._born = 0
+        self._engine_born = 0
         self._ordered_at = -_SETTLE_S
-        self._taken: ModelVersion | None = None
-        self._complete_at: float | None = None
+        self._ordered: ModelVersion | None = None
+        self._completed_at: float | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def fleet(self) -> FleetInfo:
-        """Give what is known of the fleet."""
-        return self._fetching.fleet
+        """Return what is known of the fleet."""
+        return self._downloads.fleet
 
     @property
     def download(self) -> Download | None:
-        """Give the download of the version that comes next."""
-        return None if self.target is None else self._fetching.get(self.target)
+        """Return the download of the next version, or None before it."""
+        return None if self.target is None else self._downloads.get(self.target)
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following the wanted versions."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop; the engine goes on serving."""
+        """Stop following; the engine continues to serve."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        await self._fetching.close()
+        await self._downloads.close()
 
     def wake(self) -> None:
-        """Look again at what is wanted."""
+        """Check the wanted versions again now."""
         self._wake.set()
 
     @property
     def draining(self) -> bool:
-        """Tell whether new calls should go elsewhere: a change is near."""
+        """Return whether new calls should avoid this VM before a change."""
         target = self.target
         report = self.report
         download = self.download
@@ -120,7 +120,7 @@
 
     @property
     def busy(self) -> bool:
-        """Tell whether a version is being brought or taken here."""
+        """Return whether a version is being fetched or loaded here."""
         report = self.report
         if report is None or report.changing:
             return True
@@ -131,16 +131,16 @@
         )
 
     def partners(self, manifest: str) -> list[str]:
-        """Give the hosts with which a version's chunks are exchanged."""
-        return self._fetching.partners(manifest)
+        """Return the hosts with which a version's chunks are exchanged."""
+        return self._downloads.partners(manifest)
 
     def add_notice(self, notice: HeldNotice) -> None:
-        """Take in what a peer holds."""
-        self._fetching.add_notice(notice)
+        """Record which chunks a peer holds."""
+        self._downloads.add_notice(notice)
 
     def notices(self) -> list[HeldNotice]:
-        """Tell what is held here of the versions that are fetched."""
-        return self._fetching.notices()
+        """Return which chunks of the fetched versions this VM holds."""
+        return self._downloads.notices()
 
     async def _run(self) -> None:
         while True:
@@ -156,14 +156,14 @@
         report = self.report
         if report is None:
             return
-        if report.born != self._born:
-            self._begin_life(report.born)
+        if report.born != self._engine_born:
+            self._reset_engine_state(report.born)
         now_s = self._tools.clock.now()
         if now_s - self._ordered_at >= _SETTLE_S:
-            # An order that led to nothing by now is given again.
-            self._taken = None
+            # An order that had no effect by now is given again.
+            self._ordered = None
         self._wanted.add_serving(report.serving.items())
-        planned = self._newest(now_s)
+        planned = self._next_version(now_s)
         if planned is None:
             return
         await self._fetch(*planned)
@@ -171,40 +171,43 @@
         download = self.download
         if target is None or download is None:
             return
-        await self._lay(target, download)
+        await self._stage(target, download)
         if report.serving.get(target.model, 0) >= target.version:
             return
-        if self._taken == target and now_s - self._ordered_at < _SETTLE_S:
+        if self._ordered == target and now_s - self._ordered_at < _SETTLE_S:
             return
         if not download.swarm.complete or report.changing:
             return
-        if now_s >= self._change_at(target, report, now_s):
-            await self._take(target, download)
-
-    def _begin_life(self, born: int) -> None:
-        """Lay and order everything anew: this life knows of nothing."""
-        if self._born:
-            log(Event.ENGINE_REBORN, before=self._born, born=born)
-        self._born = born
+        if now_s >= self._switch_at(target, report, now_s):
+            await self._order(target, download)
+
+    def _reset_engine_state(self, born: int) -> None:
+        """Forget what a previous incarnation of the engine was given."""
+        if self._engine_born:
+            log(Event.ENGINE_REBORN, before=self._engine_born, born=born)
+        self._engine_born = born
         self._staged = 0
-        self._taken = None
+        self._ordered = None
         self._ordered_at = -_SETTLE_S
 
-    async def _fetch(self, newest: ModelVersion, outlook: PlanInputs) -> None:
-        """Fetch what comes next, and what may be needed beside it.
+    async def _fetch(self, newest: ModelVersion, inputs: PlanInputs) -> None:
+        """Fetch the next version, and one that may be needed in addition.
 
-        What came next before goes on until a newer version's manifest is here.
+        The previous target continues until a newer version's manifest has been
+        received.
         """
-        if newest != self.target and self._fetching.get(newest) is not None:
+        if newest != self.target and self._downloads.get(newest) is not None:
             self.target = newest
             self._staged = 0
-            self._complete_at = None
-        await self._fetching.fetch_only(tuple(self._wants(newest, outlook)))
+            self._completed_at = None
+        await self._downloads.fetch_only(
+            tuple(self._versions_to_fetch(newest, inputs))
+        )
         if self.target is not None:
-            self._fetching.prioritise(self.target)
+            self._downloads.prioritise(self.target)
 
-    def _wants(
-        self, newest: ModelVersion, outlook: PlanInputs
+    def _versions_to_fetch(
+        self, newest: ModelVersion, inputs: PlanInputs
     ) -> Iterator[ModelVersion]:
         yield newest
         if self.target is None:
@@ -213,10 +216,10 @@
             yield self.target
             return
         after = ModelVersion(newest.model, self._wanted.newest(newest.model))
-        brought = outlook.progress.get(newest.version)
-        if after == newest or brought is None:
+        progress = inputs.progress.get(newest.version)
+        if after == newest or progress is None:
             return
-        if self._plan.may_read_ahead(brought):
+        if self._plan.may_read_ahead(progress):
             yield after
 
     def _first_wave(self, target: ModelVersion) -> bool:
@@ -226,89 +229,94 @@
             target.name,
         )
 
-    def _change_at(
+    def _switch_at(
         self, target: ModelVersion, report: EngineReport, now_s: float
     ) -> float:
-        if self._complete_at is None:
-            self._complete_at = now_s
+        if self._completed_at is None:
+            self._completed_at = now_s
         cutoff = self._wanted.cutoff(target.model, target.version)
         serves_nothing = not report.serving.get(target.model, 0)
         if cutoff is None or serves_nothing:
             return now_s
         first = self._first_wave(target)
         return waves.change_at(
-            self._complete_at,
+            self._completed_at,
             cutoff,
             ENGINE_SWITCH_S,
             first=first,
         )
 
-    def _newest(self, now: float) -> tuple[ModelVersion, PlanInputs] | None:
-        """Give the version to bring next, and what that was planned by."""
+    def _next_version(
+        self, now: float
+    ) -> tuple[ModelVersion, PlanInputs] | None:
+        """Return the version to fetch next and the inputs of that plan."""
         for model in self._wanted.models():
             serving = self.report.serving.get(model, 0) if self.report else 0
-            # What an order was taken for has left the place where it lay.
-            if self._taken is not None and self._taken.model == model:
-                serving = max(serving, self._taken.version)
-            outlook = self._outlook(model, serving, now)
-            version = self._plan.choose_version(self._wanted, outlook)
+            # The engine has accepted an order for this version, so its staged
+            # chunks are no longer available.
+            if self._ordered is not None and self._ordered.model == model:
+                serving = max(serving, self._ordered.version)
+            inputs = self._plan_inputs(model, serving, now)
+            version = self._plan.choose_version(self._wanted, inputs)
             if version:
-                self._tell_plan(outlook, version)
-                return ModelVersion(model, version), outlook
+                self._log_plan(inputs, version)
+                return ModelVersion(model, version), inputs
         return None
 
-    def _tell_plan(self, outlook: PlanInputs, version: int) -> None:
-        if version == self._planned:
+    def _log_plan(self, inputs: PlanInputs, version: int) -> None:
+        if version == self._logged_version:
             return
-        self._planned = version
+        self._logged_version = version
         log(
             Event.VERSION_PLANNED,
             version=version,
-            serving=outlook.serving,
-            before=outlook.planned,
+            serving=inputs.serving,
+            before=inputs.planned,
             closing_in_s={
-                one: round(at - outlook.now, 1)
-                for one, at in self._wanted.cutoffs(outlook.model)
+                named: round(cutoff - inputs.now, 1)
+                for named, cutoff in self._wanted.cutoffs(inputs.model)
             },
             lacking={
-                one: found.missing for one, found in outlook.progress.items()
+                known: progress.missing
+                for known, progress in inputs.progress.items()
             },
             unread={
-                one: found.unread for one, found in outlook.progress.items()
+                known: progress.unread
+                for known, progress in inputs.progress.items()
             },
         )
 
-    def _outlook(self, model: str, serving: int, now: float) -> PlanInputs:
-        brought = self._fetching.progress_of(model)
-        stands = (
+    def _plan_inputs(self, model: str, serving: int, now: float) -> PlanInputs:
+        progress = self._downloads.progress_of(model)
+        current = (
             self.target if self.target and self.target.model == model else None
         )
         return PlanInputs(
             model,
             serving,
-            stands.version if stands else 0,
+            current.version if current else 0,
             now,
             self.transfer_s,
             self.fleet.chunk_origin_s,
-            brought,
+            progress,
         )
 
-    async def _lay(self, target: ModelVersion, download: Download) -> None:
+    async def _stage(self, target: ModelVersion, download: Download) -> None:
         for index in chunks.indices(download.swarm.held & ~self._staged):
             chunk = self._tools.store.chunk(download.manifest, index)
             if chunk is not None:
                 await self._engine.stage(target.model, index, chunk)
                 self._staged |= 1 << index
 
-    async def _take(self, target: ModelVersion, download: Download) -> None:
+    async def _order(self, target: ModelVersion, download: Download) -> None:
         now = self._tools.clock.now()
         if now - self._ordered_at < _SETTLE_S:
             return
-        if not await self._verified(target, download):
+        if not await self._verify_staged(target, download):
             return
         report = await self._engine.report()
-        if report.changing or report.born != self._born:
-            # What was read back lay at the life before.
+        if report.changing or report.born != self._engine_born:
+            # The verified chunks were staged at the previous incarnation.
             return
         answer = await self._engine.take(
             target.model,
@@ -323,11 +331,13 @@
         )
         if answer in {Order.TAKEN, Order.DONE}:
             self._ordered_at = now
-            self._taken = target
+            self._ordered = target
             self._wake.set()
 
-    async def _verified(self, target: ModelVersion, download: Download) -> bool:
-        """Read back what lies there; lay again what is not as it should be."""
+    async def _verify_staged(
+        self, target: ModelVersion, download: Download
+    ) -> bool:
+        """Read the staged chunks back; have wrong ones staged again."""
         digests = download.manifest.digests
         for index, digest in enumerate(digests):
             chunk = await self._engine.read_staged(target.model, index)
--- a/src/linnetwood/weights/reading.py
+++ b/src/linnetwood/weights/reading.py
@@ -1,4 +1,4 @@
-"""Who reads which chunk from the origin or from afar, and when; no I/O."""
+"""Which VM reads a chunk from the origin or another zone, and when; no I/O."""
 
 import dataclasses
 from bisect import bisect_right
@@ -16,8 +16,8 @@
 
 _RING_POINTS = 16
 READERS_PER_CHUNK = 3
-# What a chunk takes to be told of.
-_SHOWN_S = 0.1
+# Time until peers learn that a chunk is held.
+_ANNOUNCE_S = 0.1
 
 
 class Ring:
@@ -35,44 +35,47 @@
         self._manifest = manifest
 
     def readers(self, index: int, count: int) -> list[str]:
-        """Give the VMs that should read a chunk, first choice first."""
-        found: dict[str, None] = {}
+        """Return up to count VMs that should read a chunk, in order."""
+        readers: dict[str, None] = {}
         start = bisect_right(self._keys, hash64(f'{self._manifest}#{index}'))
         for _, vm in self._points[start:] + self._points[:start]:
-            found[vm] = None
-            if len(found) == count:
+            readers[vm] = None
+            if len(readers) == count:
                 break
-        return list(found)
+        return list(readers)
 
 
 class OriginPolicy(Protocol):
     """Decide when a process may read a chunk from the origin."""
 
     def due_at(self, index: int, started: float) -> float | None:
-        """Give the time from which this process may read the chunk."""
+        """Return the time from which this process may read the chunk."""
 
     def retry_at(self, index: int, failure: OriginFailure) -> float:
-        """Give the time of the turn once an origin that failed is back."""
+        """Return the time of the next read after a failure of the origin."""
 
     def fallback_at(self, index: int, since: float) -> float:
-        """Give the time to read what only VMs hold that are silent since."""
+        """Return the time to read a chunk that only silent VMs hold.
+
+        :param since: time since when these VMs have been silent
+        """
 
     def assigned(self) -> int:
-        """Give the bitmap of chunks whose readers this process is among."""
+        """Return the bitmap of chunks that list this process as a reader."""
 
     def is_takeover(self, index: int) -> bool:
-        """Tell whether another process was to read the chunk first."""
+        """Return whether another process is the chunk's first reader."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PreviousTurns:
-    """Which chunks were this VM's to read before, and for how long."""
+    """Chunks assigned to this VM before a change of the fleet, and how long."""
 
     chunks: int
     elapsed_s: float
 
 
-def _grace_s(
+def _handover_s(
     index: int, before: PreviousTurns | None, cfg: SwarmOptions
 ) -> float:
     if before is None or index < 0 or before.chunks >> index & 1:
@@ -81,12 +84,13 @@
 
 
 class SharedReading:
-    """Let each chunk be read once, by the VM that the ring names.
+    """Have each chunk read once, by the first VM on the ring.
 
     The reads are spread over the time that the origin's link needs, and the
-    next VM on the ring takes over when nobody has shown the chunk in time.
-    When the fleet changes, turns that were not this VM's before wait for as
-    long, since whoever had them may have read the chunk already.
+    next VM on the ring takes over when no VM announces the chunk in time. When
+    the fleet changes, chunks newly assigned to this VM wait for the time that
+    has elapsed so far plus the takeover time, since their previous reader may
+    have read them already.
     """
 
     def __init__(
@@ -98,10 +102,10 @@
         before: PreviousTurns | None = None,
         takeover: TakeoverPolicy = after_unread_chunks,
     ) -> None:
-        """Work out this process's turns."""
+        """Compute when this process reads which chunks."""
         self._me = me
         self._ring = ring
-        self._alone_s: dict[int, float] = {}
+        self._fallback_s: dict[int, float] = {}
         self._takeover = takeover
         self._cfg = cfg
         self._due: dict[int, float] = {}
@@ -113,16 +117,16 @@
                 self._ranks[index] = rank
                 wait = max(0, index) * cfg.chunk_origin_s
                 due = wait + rank * cfg.takeover_s
-                self._due[index] = max(due, _grace_s(index, before, cfg))
-        self._turns = sum(1 << chunk for chunk in self._due if chunk >= 0)
+                self._due[index] = max(due, _handover_s(index, before, cfg))
+        self._assigned = sum(1 << chunk for chunk in self._due if chunk >= 0)
 
     def due_at(self, index: int, started: float) -> float | None:
-        """Give the time of this process's turn, if it has one."""
+        """Return the time of this process's turn, or None without one."""
         due = self._due.get(index)
         return None if due is None else started + due
 
     def retry_at(self, index: int, failure: OriginFailure) -> float:
-        """Give the turn after a failure: by then every first turn is over.
+        """Return the time after a failure, when all first turns have passed.
 
         Without this all readers of a chunk would read it at the same time.
         """
@@ -134,30 +138,33 @@
         )
 
     def fallback_at(self, index: int, since: float) -> float:
-        """Give the turn among all VMs, which are seldom all in reach.
+        """Return the time of this VM's turn among all VMs of the ring.
 
-        Each waits until the one before it could have shown the chunk.
+        All VMs get a turn, since seldom all of them are reachable. Each waits
+        until the previous one could have announced the chunk.
         """
-        if index not in self._alone_s:
+        if index not in self._fallback_s:
             readers = self._ring.readers(index, self._ring.members)
             rank = readers.index(self._me) if self._me in readers else 0
-            self._alone_s[index] = rank * (self._cfg.chunk_origin_s + _SHOWN_S)
-        return since + self._alone_s[index]
+            self._fallback_s[index] = rank * (
+                self._cfg.chunk_origin_s + _ANNOUNCE_S
+            )
+        return since + self._fallback_s[index]
 
     def assigned(self) -> int:
-        """Give the chunks for which this process is among the readers."""
-        return self._turns
+        """Return the bitmap of chunks that list this process as a reader."""
+        return self._assigned
 
     def is_takeover(self, index: int) -> bool:
-        """Tell whether this process is not the first reader."""
+        """Return whether this process is not the first reader."""
         return self._ranks.get(index) != 0
 
 
 class ZoneReading:
-    """Let one VM of a zone bring each chunk into it; the others wait for that.
+    """Have one VM of a zone fetch each chunk from outside; the others wait.
 
-    Bytes between zones are dear. The next VM on the zone's ring takes over
-    when the chunk has not come in time, and in the end anyone may.
+    Traffic between zones is expensive. The next VM on the zone's ring takes
+    over when the chunk has not arrived in time, and in the end every VM may.
     """
 
     def __init__(
@@ -168,41 +175,41 @@
         count: int,
         takeover_s: float,
     ) -> None:
-        """Work out this VM's rank for each chunk."""
+        """Compute the delay of each chunk from this VM's rank."""
         self._due = [
             ring.readers(index, members).index(me) * takeover_s
             for index in range(count)
         ]
 
     def due_at(self, index: int, started: float) -> float | None:
-        """Give the time from which a far neighbour may be asked."""
+        """Return when a neighbour of another zone may be requested."""
         return started + self._due[index]
 
 
 class DueTimes(Protocol):
-    """Tell from when on a chunk may be fetched some way."""
+    """Decide from when on a chunk may be fetched from one kind of source."""
 
     def due_at(self, index: int, started: float) -> float | None:
-        """Give the time, or None for never."""
+        """Return the time, or None for never."""
 
 
 class DirectReading:
-    """Let every VM read everything from the origin: the plain baseline."""
+    """Let every VM read all chunks from the origin, as a baseline."""
 
     def __init__(self, count: int) -> None:
-        """Know how many chunks there are."""
-        self._turns = chunks.full(count)
+        """Assign all chunks of a version with this many."""
+        self._assigned = chunks.full(count)
 
     def fallback_at(self, index: int, since: float) -> float:
         """Allow every chunk at once."""
         return since
 
     def assigned(self) -> int:
-        """Give every chunk."""
-        return self._turns
+        """Return the bitmap of all chunks."""
+        return self._assigned
 
     def is_takeover(self, index: int) -> bool:
-        """Take over from nobody."""
+        """Return False: every VM is its own first reader."""
         return False
 
     def due_at(self, index: int, started: float) -> float | None:
--- a/src/linnetwood/weights/takeover.py
+++ b/src/linnetwood/weights/takeover.py
@@ -1,10 +1,10 @@
-"""When the next reader may read a chunk after the origin was away; no I/O.
+"""When the next reader may read a chunk after an origin outage; no I/O.
 
 Load pattern: 41 VMs have 40 of 96 chunks left to read when an origin of 4.38
-Mbit/s comes back after 6 s. Each chunk has a first reader and two that take
-over. If these wait a fixed second, all 40 reads share the link for longer than
-that, so that others begin the same chunks: the origin sends each two or three
-times, takes twice as long, and turns connections away.
+Mbit/s is reachable again after 6 s. Each chunk has a first reader and two that
+take over. If these wait a fixed second, all 40 reads share the link for longer
+than that, so other VMs start to read the same chunks: the origin sends each two
+or three times, takes twice as long, and refuses connections.
 """
 
 import dataclasses
@@ -12,23 +12,23 @@
 from typing import Final, Protocol
 
 
-# While nothing shows that the origin is back, its first readers try it; others
-# do so as many times less often, in case these are all gone.
-_UNTOLD_TIMES = 3
+# While nothing shows that the origin is reachable again, the first readers try
+# it; later readers wait this many times as long, in case all first ones failed.
+_UNCONFIRMED_FACTOR = 3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OriginFailure:
-    """What a VM knows of an origin that failed it; times in seconds."""
+    """What a VM knows of an origin after a failed read; times in seconds."""
 
     failed_at: float
     # When it answered this VM since then.
     answered_at: float | None
-    # When another was seen to hold more than at the failure.
+    # When peers were first seen to hold more chunks than at the failure.
     seen_elsewhere_at: float | None
-    # Chunks that nobody is known to hold.
+    # Number of chunks that no VM is known to hold.
     unread: int
-    # Whether this VM is the first reader of one of these.
+    # Whether this VM is the first reader of one of these chunks.
     is_first: bool
 
 
@@ -42,9 +42,10 @@
         takeover_s: float,
         chunk_s: float,
     ) -> float:
-        """Give the time from which it may.
+        """Return the time in seconds from which it may read.
 
-        A chunk takes so long on the origin's link by itself.
+        :param rank: position among the readers of the chunk, 0 for the first
+        :param chunk_s: seconds of one chunk alone on the origin's link
         """
 
 
@@ -54,7 +55,7 @@
     takeover_s: float,
     chunk_s: float,
 ) -> float:
-    """Let each reader wait the same time for the one before it."""
+    """Let each reader wait a fixed time for the previous one."""
     return failure.failed_at + rank * takeover_s
 
 
@@ -64,19 +65,19 @@
     takeover_s: float,
     chunk_s: float,
 ) -> float:
-    """Let each reader wait for as long as all that is unread takes as well.
+    """Let each reader also wait for the transfer time of all unread chunks.
 
-    It is counted from when the origin is known to be back. Whoever is the first
-    reader of something learns that by its own read and by nothing else, since
-    what others hold may have been read before.
+    The wait starts when the origin is known to be reachable again. A VM that is
+    the first reader of a chunk learns this only by a read of its own, since
+    chunks that peers hold may have been read before the outage.
     """
     wait_s = rank * (takeover_s + failure.unread * chunk_s)
-    back_at = failure.answered_at
-    if back_at is None and not failure.is_first:
-        back_at = failure.seen_elsewhere_at
-    if back_at is None:
-        return failure.failed_at + _UNTOLD_TIMES * wait_s
-    return max(failure.failed_at, back_at) + wait_s
+    reachable_at = failure.answered_at
+    if reachable_at is None and not failure.is_first:
+        reachable_at = failure.seen_elsewhere_at
+    if reachable_at is None:
+        return failure.failed_at + _UNCONFIRMED_FACTOR * wait_s
+    return max(failure.failed_at, reachable_at) + wait_s
 
 
 AFTER_THE_REST: Final = 'after-the-rest'
--- a/src/linnetwood/weights/versionplan.py
+++ b/src/linnetwood/weights/versionplan.py
@@ -1,8 +1,9 @@
-"""Which version comes next to an engine, and when the one after it is read.
+"""Which version an engine gets next, and when the one after it is read.
 
-Load pattern: two versions are named 2 to 4 s apart, each with a bound of its
-own, and the origin is away for some seconds in between. From an older version's
-bound on calls find no engine until the next one serves. No I/O or clock here.
+Load pattern: two versions are named 2 to 4 s apart, each with its own bound,
+and the origin is unreachable for some seconds in between. After an older
+version's bound calls find no engine until the next one serves. No I/O or clock
+here.
 """
 
 import dataclasses
@@ -13,101 +14,102 @@
 
 from linnetwood.fleet.wanted import ENGINE_SWITCH_S, WantedVersions
 
-# A plan is left for one that saves more than reckoning errs by: what is given
-# up half done was brought for nothing.
-_WORTH_A_CHANGE_S = 1.5
-# What a change costs beside: engines change in two waves, so that the others go
-# on; this is far less than the same time without a version.
-_CHANGE_COSTS_S = 0.3
-# As many chunks as every model that was met has.
-_UNKNOWN_COUNT = 96
+# A plan is replaced only by one that saves more than the estimates' error: the
+# chunks of an abandoned version were transferred in vain.
+_MIN_SAVING_S = 1.5
+# Additional cost of each change of version. Engines change in two waves and the
+# other wave keeps serving, so it is far below the cost of the same time without
+# any version.
+_CHANGE_COST_S = 0.3
+# Assumed chunks of a version while no manifest is known; all known models have
+# this many.
+_DEFAULT_CHUNK_COUNT = 96
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkProgress:
-    """How far a version is here, in chunks."""
+    """How much of a version this VM holds, in chunks."""
 
     count: int
-    # Not here yet.
+    # Chunks that this VM does not hold yet.
     missing: int
-    # Not here, and known nowhere but at the origin.
+    # Missing chunks that are known to be held by the origin only.
     unread: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlanInputs:
-    """What one VM plans by; times in seconds."""
+    """What one VM bases its plan on; times in seconds."""
 
     model: str
     serving: int
-    # What comes next by the plan that stands; 0 for none.
+    # Next version of the current plan; 0 for none.
     planned: int
     now: float
-    # A whole version over this VM's link, and a chunk over the origin's.
+    # Transfer time of a version on this VM's link, of a chunk on the origin's.
     transfer_s: float
     chunk_origin_s: float
-    # By version, those whose manifest is here.
+    # By version; only versions whose manifest is known.
     progress: Mapping[int, ChunkProgress]
 
 
 class VersionPlan(Protocol):
-    """Plan what an engine gets; all VMs plan by the same times."""
+    """Plan which version an engine gets; all VMs plan by the same times."""
 
-    def choose_version(
-        self, wanted: WantedVersions, outlook: PlanInputs
-    ) -> int:
-        """Give the version to bring next; 0 if none is known."""
+    def choose_version(self, wanted: WantedVersions, inputs: PlanInputs) -> int:
+        """Return the version to fetch next; 0 if none is known."""
 
-    def may_read_ahead(self, brought: ChunkProgress) -> bool:
-        """Tell whether the version after one so far here may be read."""
+    def may_read_ahead(self, progress: ChunkProgress) -> bool:
+        """Return whether the version after the given one may be read."""
 
 
 class ByNaming:
-    """Weigh versions once, by when they were named and the link alone."""
+    """Choose once, only by the times of naming and this VM's link."""
 
-    def choose_version(
-        self, wanted: WantedVersions, outlook: PlanInputs
-    ) -> int:
-        """Give the version to bring next."""
+    def choose_version(self, wanted: WantedVersions, inputs: PlanInputs) -> int:
+        """Return the version to fetch next."""
         return wanted.next_target(
-            outlook.model,
-            outlook.serving,
-            outlook.transfer_s,
-            outlook.now,
+            inputs.model,
+            inputs.serving,
+            inputs.transfer_s,
+            inputs.now,
         )
 
-    def may_read_ahead(self, brought: ChunkProgress) -> bool:
-        """Read the next version when this one is whole."""
-        return not brought.missing
+    def may_read_ahead(self, progress: ChunkProgress) -> bool:
+        """Read the next version when this one is complete."""
+        return not progress.missing
 
 
 class ByForecast:
-    """Weigh versions anew all the while, by what is left to bring.
+    """Choose again at each step, by the chunks that are still missing.
 
-    The version after the next one is read from the origin as soon as all of
-    that one has left it, since the origin's link is free then.
+    The version after the next one is read from the origin as soon as all chunks
+    of the next one have been read, since the origin's link is free then.
     """
 
-    def choose_version(
-        self, wanted: WantedVersions, outlook: PlanInputs
-    ) -> int:
-        """Give the version with which calls are without one least."""
-        newest = wanted.newest(outlook.model)
-        without_s = {
-            version: _without_s(wanted, outlook, version, newest)
-            for version in _candidates(wanted, outlook, newest)
+    def choose_version(self, wanted: WantedVersions, inputs: PlanInputs) -> int:
+        """Return the version that leaves calls unserved for the least time."""
+        newest = wanted.newest(inputs.model)
+        unserved_s = {
+            version: _unserved_s(wanted, inputs, version, newest)
+            for version in _candidates(wanted, inputs, newest)
         }
-        if not without_s:
+        if not unserved_s:
             return newest
-        best = min(without_s, key=lambda version: (without_s[version], version))
-        stands = without_s.get(outlook.planned)
-        if stands is not None and stands - without_s[best] < _WORTH_A_CHANGE_S:
-            return outlook.planned
+        best = min(
+            unserved_s, key=lambda version: (unserved_s[version], version)
+        )
+        current_s = unserved_s.get(inputs.planned)
+        if (
+            current_s is not None
+            and current_s - unserved_s[best] < _MIN_SAVING_S
+        ):
+            return inputs.planned
         return best
 
-    def may_read_ahead(self, brought: ChunkProgress) -> bool:
-        """Read the next version when all of this one has left the origin."""
-        return not brought.unread
+    def may_read_ahead(self, progress: ChunkProgress) -> bool:
+        """Read the next version when the origin has sent all of this one."""
+        return not progress.unread
 
 
 PLANS: Final[Mapping[str, VersionPlan]] = MappingProxyType(
@@ -117,59 +119,63 @@
 
 def _candidates(
     wanted: WantedVersions,
-    outlook: PlanInputs,
+    inputs: PlanInputs,
     newest: int,
 ) -> Iterator[int]:
-    for version, _ in wanted.cutoffs(outlook.model):
-        if outlook.serving < version <= newest:
+    for version, _ in wanted.cutoffs(inputs.model):
+        if inputs.serving < version <= newest:
             yield version
 
 
-def _without_s(
+def _unserved_s(
     wanted: WantedVersions,
-    outlook: PlanInputs,
+    inputs: PlanInputs,
     version: int,
     newest: int,
 ) -> float:
-    """Give the seconds without an allowed version, if this one comes next.
+    """Return the seconds without an allowed version if this one comes next.
 
-    Each change counts as well, by what an engine does not do meanwhile.
+    Each change of version adds the cost of the work an engine misses meanwhile.
     """
-    first = _brought(outlook, version)
-    read_s = first.unread * outlook.chunk_origin_s
-    here_s = max(read_s, first.missing * outlook.transfer_s / first.count)
-    ready_s = here_s + ENGINE_SWITCH_S
-    closes_s = _closes_s(wanted, outlook, outlook.serving)
-    without_s = max(0, ready_s - closes_s)
+    first = _progress(inputs, version)
+    read_s = first.unread * inputs.chunk_origin_s
+    fetched_s = max(read_s, first.missing * inputs.transfer_s / first.count)
+    ready_s = fetched_s + ENGINE_SWITCH_S
+    closing_in_s = _closing_in_s(wanted, inputs, inputs.serving)
+    unserved_s = max(0, ready_s - closing_in_s)
     if version == newest:
-        return without_s
-    last = _brought(outlook, newest)
-    last_s = max(
-        read_s + last.unread * outlook.chunk_origin_s,
-        here_s + last.missing * outlook.transfer_s / last.count,
+        return unserved_s
+    last = _progress(inputs, newest)
+    newest_fetched_s = max(
+        read_s + last.unread * inputs.chunk_origin_s,
+        fetched_s + last.missing * inputs.transfer_s / last.count,
     )
-    closes_s = max(ready_s, _closes_s(wanted, outlook, version))
-    without_s += max(0, last_s + ENGINE_SWITCH_S - closes_s)
-    return without_s + _CHANGE_COSTS_S
+    closing_in_s = max(ready_s, _closing_in_s(wanted, inputs, version))
+    unserved_s += max(0, newest_fetched_s + ENGINE_SWITCH_S - closing_in_s)
+    return unserved_s + _CHANGE_COST_S
 
 
-def _closes_s(
+def _closing_in_s(
     wanted: WantedVersions,
-    outlook: PlanInputs,
+    inputs: PlanInputs,
     version: int,
 ) -> float:
-    """Give in how many seconds calls start on a version no more."""
-    closing = [at for one, at in wanted.cutoffs(outlook.model) if one > version]
-    # What was named before this process heard of it has closed already.
-    return max(0, min(closing, default=math.inf) - outlook.now)
+    """Return after how many seconds no call may start on a version."""
+    closing = [
+        cutoff
+        for newer, cutoff in wanted.cutoffs(inputs.model)
+        if newer > version
+    ]
+    # The cutoff may have passed before this process learned of the version.
+    return max(0, min(closing, default=math.inf) - inputs.now)
 
 
-def _brought(outlook: PlanInputs, version: int) -> ChunkProgress:
-    """Give how far a version is here; all is lacking before its manifest is."""
-    found = outlook.progress.get(version)
+def _progress(inputs: PlanInputs, version: int) -> ChunkProgress:
+    """Return a version's progress; all is missing without a manifest."""
+    found = inputs.progress.get(version)
     if found is not None:
         return found
-    counts = [one.count for one in outlook.progress.values()] or [
-        _UNKNOWN_COUNT
+    counts = [known.count for known in inputs.progress.values()] or [
+        _DEFAULT_CHUNK_COUNT
     ]
     return ChunkProgress(counts[0], counts[0], counts[0])
--- a/tests/test_cut_zone.py
+++ b/tests/test_cut_zone.py
@@ -1,15 +1,15 @@
 """How a version reaches a zone that is cut off together with the origin.
 
-Seen: a zone was cut off for 5 s while a version was on its way. Engines on both
-sides held nearly all of it; none was whole before the cut had healed, and from
-the version's bound on every call was refused for 4 s.
-
-How: a chunk that any neighbour holds was never read from the origin. Behind the
-cut the neighbours that hold it say nothing; the origin would, but isn't asked.
-Nor is it for a chunk whose three readers are all behind the cut.
-
-Proof: with the zone cut off 5 s after the naming its VMs lacked four to nine
-chunks each, asked silent ones for these, and read none of them.
+Guards against a zone that stays incomplete until the cut heals: with a zone cut
+off for 5 s during a transfer, engines on both sides held nearly all chunks, but
+none was complete before the cut had healed, and after the version's bound every
+call was refused for 4 s.
+
+A chunk that any neighbour holds was never read from the origin. Neighbours
+behind the cut don't answer; the origin would, but got no request. The same was
+true of a chunk whose 3 readers are all behind the cut. With the zone cut off 5
+s after the naming its VMs missed 4 to 9 chunks each, requested these from
+silent VMs, and read none of them from the origin.
 """
 
 import unittest
@@ -24,39 +24,41 @@
 HEALS_AT = 13
 
 
-def played(place: Place, seed: int) -> Outcome:
-    """Let one version reach all engines."""
+def run_transfer(place: Place, seed: int) -> Outcome:
+    """Run the transfer of one version to all engines."""
     ways = Ways(TAKEOVERS[AFTER_THE_REST], ByForecast())
     return Fleet(place, ways, seed).play(40)
 
 
 class CutZoneTest(unittest.TestCase):
-    """By the modules that decide, without a network."""
+    """Run the modules that decide, without a network."""
 
-    def test_it_reads_what_others_hold_behind_the_cut(self) -> None:
-        """Its engines are whole before it reaches the others again.
+    def test_zone_reads_chunks_held_behind_the_cut(self) -> None:
+        """Its engines are complete before the cut heals.
 
         Without a cut that takes them 9.9 to 10.6 s.
         """
         for since, seed in product((3, 5), SEEDS):
             place = Place(vms=11, cut=(since, HEALS_AT))
             with self.subTest(since=since, seed=seed):
-                self.assertLess(played(place, seed).near_at[VERSION], HEALS_AT)
+                self.assertLess(
+                    run_transfer(place, seed).near_at[VERSION], HEALS_AT
+                )
 
-    def test_nobody_reads_more_without_a_cut(self) -> None:
-        """All is read once, but for a few chunks."""
+    def test_no_additional_reads_without_a_cut(self) -> None:
+        """All chunks but a few are read once."""
         for seed in SEEDS:
             place = Place(vms=11)
             with self.subTest(seed=seed):
-                reads = played(place, seed).reads[VERSION]
+                reads = run_transfer(place, seed).reads[VERSION]
                 self.assertLessEqual(reads, place.chunks + 3)
 
-    def test_the_others_lose_little_by_it(self) -> None:
-        """The origin is free for them soon after the cut has healed."""
+    def test_other_zones_are_hardly_delayed(self) -> None:
+        """The origin's link is free for them soon after the cut heals."""
         for seed in SEEDS:
             place = Place(vms=11, cut=(4, 9))
             with self.subTest(seed=seed):
-                outcome = played(place, seed)
+                outcome = run_transfer(place, seed)
                 self.assertLess(outcome.whole_at[VERSION], 12.5)
 
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""A version reaches the engine: fetched, checked, laid, ordered once."""
+"""A version reaches the engine: fetched, verified, staged, ordered once."""
 
 import asyncio
 import hashlib
@@ -24,12 +24,12 @@
 
 
 def chunk(version: int, index: int) -> bytes:
-    """Give a version's chunk."""
+    """Return a chunk of a version."""
     return b'%d/%d' % (version, index) * 20
 
 
 def manifest(version: int) -> Manifest:
-    """Give a version's digests."""
+    """Return the manifest of a version."""
     digests = tuple(
         hashlib.sha256(chunk(version, index)).digest() for index in range(COUNT)
     )
@@ -37,77 +37,77 @@
 
 
 class FakeOrigin:
-    """An origin that may be away or spoil chunks."""
+    """An origin that may be unreachable or send corrupt chunks."""
 
     def __init__(self) -> None:
-        self.away = False
-        self.lacks: set[int] = set()
-        self.spoils: set[int] = set()
+        self.unreachable = False
+        self.missing_versions: set[int] = set()
+        self.corrupt_reads: set[int] = set()
         self.reads: list[tuple[int, int]] = []
 
     async def manifest(self, model: str, version: int) -> Manifest:
-        if self.away or version in self.lacks:
+        if self.unreachable or version in self.missing_versions:
             raise WeightsError('origin-refused')
         return manifest(version)
 
     async def piece(self, model: str, version: int, index: int) -> bytes:
-        if self.away:
+        if self.unreachable:
             raise WeightsError('origin-refused')
         self.reads.append((version, index))
-        if index in self.spoils:
-            self.spoils.discard(index)
-            return b'spoilt'
+        if index in self.corrupt_reads:
+            self.corrupt_reads.discard(index)
+            return b'corrupt'
         return chunk(version, index)
 
 
 class FakeEngine:
-    """An engine that takes exactly what lies there."""
+    """An engine that loads exactly the staged chunks."""
 
     def __init__(self) -> None:
-        self.place: dict[int, bytes] = {}
+        self.staged_chunks: dict[int, bytes] = {}
         self.serving = 0
         self.orders = 0
-        self.taken: list[dict[int, bytes]] = []
-        self.rots: set[int] = set()
-        self.refuses = 0
+        self.loaded: list[dict[int, bytes]] = []
+        self.corrupt_stages: set[int] = set()
+        self.refusals_left = 0
         self.born = 1000
-        self.asked = 0
-        self.starts_again_at = 0
+        self.report_count = 0
+        self.restarts_at = 0
 
-    def start_again(self) -> None:
-        """Hold and know nothing of before."""
+    def restart(self) -> None:
+        """Lose all state, as a new incarnation."""
         self.born += 1
         self.serving = 0
         self.orders = 0
-        self.place = {}
+        self.staged_chunks = {}
 
     async def report(self) -> EngineReport:
-        self.asked += 1
-        if self.asked == self.starts_again_at:
-            self.start_again()
+        self.report_count += 1
+        if self.report_count == self.restarts_at:
+            self.restart()
         serving = {'m': self.serving} if self.serving else {}
         return EngineReport(0, 0, 0, 1, serving, False, self.orders, self.born)
 
     async def staged(self, model: str) -> list[int]:
-        return sorted(self.place)
+        return sorted(self.staged_chunks)
 
     async def read_staged(self, model: str, index: int) -> bytes | None:
-        return self.place.get(index)
+        return self.staged_chunks.get(index)
 
     async def stage(self, model: str, index: int, piece: bytes) -> None:
-        if self.refuses:
-            self.refuses -= 1
+        if self.refusals_left:
+            self.refusals_left -= 1
             raise OrderError('engine-refused')
-        self.place[index] = piece
-        if index in self.rots:
-            self.rots.discard(index)
-            self.place[index] = b'rotten'
+        self.staged_chunks[index] = piece
+        if index in self.corrupt_stages:
+            self.corrupt_stages.discard(index)
+            self.staged_chunks[index] = b'changed'
 
     async def take(self, model: str, version: int, orders: int) -> Order:
         if orders != self.orders:
             return Order.CONFLICT
         self.orders += 1
-        self.taken.append(dict(self.place))
+        self.loaded.append(dict(self.staged_chunks))
         self.serving = version
         return Order.TAKEN
 
@@ -153,45 +153,45 @@
     async def asyncTearDown(self) -> None:
         await self.follower.close()
 
-    async def until_served(self, version: int) -> None:
-        """Play the report that the process beside the engine reads."""
+    async def wait_until_served(self, version: int) -> None:
+        """Pass on engine reports until the version is served."""
         async with asyncio.timeout(60):
             while self.engine.serving != version:
                 self.follower.report = await self.engine.report()
                 self.follower.wake()
                 await asyncio.sleep(0.01)
 
-    def check_taken(self, *versions: int) -> None:
-        """Each order took one whole version."""
-        for place, version in zip(self.engine.taken, versions, strict=True):
-            whole = {index: chunk(version, index) for index in range(COUNT)}
-            self.assertEqual(place, whole)
+    def assert_loaded(self, *versions: int) -> None:
+        """Check that each order loaded one complete version."""
+        for loaded, version in zip(self.engine.loaded, versions, strict=True):
+            expected = {index: chunk(version, index) for index in range(COUNT)}
+            self.assertEqual(loaded, expected)
 
 
 class FollowerTest(FollowerRig):
-    """Versions that are named, engines that are empty, chunks that rot."""
+    """Named versions, empty engines, corrupt chunks and outages."""
 
-    async def test_named_version_is_served_whole(self) -> None:
-        """Every chunk is read once, laid, and taken by one order."""
+    async def test_named_version_is_served_completely(self) -> None:
+        """Every chunk is read once and staged, and one order loads them."""
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
-        self.check_taken(2)
+        await self.wait_until_served(2)
+        self.assert_loaded(2)
         self.assertEqual(len(self.origin.reads), COUNT)
 
-    async def test_serving_version_comes_to_an_empty_engine(self) -> None:
-        """Nobody named it; others serve it."""
+    async def test_serving_version_is_loaded_on_an_empty_engine(self) -> None:
+        """The version was not named here, but others serve it."""
         self.wanted.add_serving([('m', 1)])
-        await self.until_served(1)
-        self.check_taken(1)
+        await self.wait_until_served(1)
+        self.assert_loaded(1)
 
-    async def test_a_step_reckons_once_what_is_here(self) -> None:
-        """What the plan was made by is what is fetched by."""
+    async def test_a_step_computes_progress_once(self) -> None:
+        """The plan and the fetching use the same progress."""
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
-        # No other step comes in between.
+        await self.wait_until_served(2)
+        # No other step runs in between.
         assert self.follower._task is not None
         self.follower._task.cancel()
-        fetching = self.follower._fetching
+        fetching = self.follower._downloads
         with mock.patch.object(
             fetching,
             'progress_of',
@@ -200,122 +200,124 @@
             await self.follower._step()
         self.assertEqual(brought.call_count, 1)
 
-    async def test_spoilt_chunk_is_read_again(self) -> None:
-        """What fails its digest is neither kept nor laid."""
-        self.origin.spoils = {0, 3}
+    async def test_corrupt_chunk_is_read_again(self) -> None:
+        """A chunk with a wrong digest is neither stored nor staged."""
+        self.origin.corrupt_reads = {0, 3}
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
-        self.check_taken(2)
+        await self.wait_until_served(2)
+        self.assert_loaded(2)
 
-    async def test_chunk_that_turned_bad_where_it_lay_is_laid_again(
+    async def test_chunk_that_changed_at_the_engine_is_staged_again(
         self,
     ) -> None:
-        """All is read back before the order."""
-        self.engine.rots = {1, 5}
+        """All chunks are read back before the order."""
+        self.engine.corrupt_stages = {1, 5}
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
-        self.check_taken(2)
+        await self.wait_until_served(2)
+        self.assert_loaded(2)
 
-    async def test_refused_laying_is_tried_again(self) -> None:
-        """An engine that does not answer for a while is served later."""
-        self.engine.refuses = 3
+    async def test_refused_staging_is_retried(self) -> None:
+        """Chunks are staged once the engine accepts them again."""
+        self.engine.refusals_left = 3
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
-        self.check_taken(2)
+        await self.wait_until_served(2)
+        self.assert_loaded(2)
 
-    async def test_a_process_that_forgot_takes_back_what_lies_there(
+    async def test_a_restarted_process_recovers_staged_chunks(
         self,
     ) -> None:
-        """After a restart the origin is not read again."""
-        self.engine.place = {index: chunk(1, index) for index in range(COUNT)}
-        self.engine.place[2] = b'rotten'
+        """After a restart only a corrupt chunk is read from the origin."""
+        self.engine.staged_chunks = {
+            index: chunk(1, index) for index in range(COUNT)
+        }
+        self.engine.staged_chunks[2] = b'changed'
         self.wanted.add_serving([('m', 1)])
-        await self.until_served(1)
-        self.check_taken(1)
+        await self.wait_until_served(1)
+        self.assert_loaded(1)
         self.assertEqual(self.origin.reads, [(1, 2)])
 
-    async def test_an_engine_that_starts_again(self) -> None:
-        """All is laid and ordered anew for its new life."""
+    async def test_an_engine_that_restarts(self) -> None:
+        """All chunks are staged and ordered for the new incarnation."""
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
-        self.engine.start_again()
-        await self.until_served(2)
-        self.check_taken(2, 2)
-        # The origin was not read again for that.
+        await self.wait_until_served(2)
+        self.engine.restart()
+        await self.wait_until_served(2)
+        self.assert_loaded(2, 2)
+        # The origin was not read again.
         self.assertEqual(len(self.origin.reads), COUNT)
 
-    async def test_an_engine_that_starts_again_at_any_moment(self) -> None:
-        """No order counts on what was read back in the life before."""
+    async def test_an_engine_that_restarts_at_any_moment(self) -> None:
+        """No order relies on chunks verified at a previous incarnation."""
         self.wanted.add_named('m', 2, 0)
         for moment in range(1, 12):
             with self.subTest(moment=moment):
-                self.engine.start_again()
-                self.engine.taken.clear()
-                self.engine.starts_again_at = self.engine.asked + moment
-                await self.until_served(2)
-                self.check_taken(*(2 for _ in self.engine.taken))
+                self.engine.restart()
+                self.engine.loaded.clear()
+                self.engine.restarts_at = self.engine.report_count + moment
+                await self.wait_until_served(2)
+                self.assert_loaded(*(2 for _ in self.engine.loaded))
 
     async def test_newer_version_while_the_older_is_served(self) -> None:
-        """Both are taken whole, one after the other."""
+        """Both are loaded completely, one after the other."""
         self.wanted.add_named('m', 2, 0)
-        await self.until_served(2)
+        await self.wait_until_served(2)
         self.wanted.add_named('m', 3, 1)
-        await self.until_served(3)
-        self.check_taken(2, 3)
+        await self.wait_until_served(3)
+        self.assert_loaded(2, 3)
 
-    async def test_origin_that_comes_back(self) -> None:
-        """Nothing is lost while it is away."""
-        self.origin.away = True
+    async def test_origin_outage(self) -> None:
+        """The version is loaded once the origin is reachable again."""
+        self.origin.unreachable = True
         self.wanted.add_named('m', 2, 0)
         for _ in range(10):
             self.follower.report = await self.engine.report()
             self.follower.wake()
             await asyncio.sleep(0.01)
-        self.assertEqual(self.engine.taken, [])
-        self.origin.away = False
-        await self.until_served(2)
-        self.check_taken(2)
+        self.assertEqual(self.engine.loaded, [])
+        self.origin.unreachable = False
+        await self.wait_until_served(2)
+        self.assert_loaded(2)
 
-    async def test_older_version_goes_on_while_the_newer_has_no_manifest(
+    async def test_older_version_continues_while_the_newer_has_no_manifest(
         self,
     ) -> None:
-        """An origin that goes away between two names keeps back one only."""
+        """An origin outage between two namings delays only the newer one."""
         now = SystemClock().now()
-        # Transfers are so slow that the older would be left out.
+        # Transfers of 8 s would make the plan skip the older version.
         self.follower.transfer_s = 8
-        self.origin.lacks = {3}
-        self.origin.spoils = {0}
+        self.origin.missing_versions = {3}
+        self.origin.corrupt_reads = {0}
         self.wanted.add_named('m', 2, now)
         self.follower.report = await self.engine.report()
         while self.follower.target is None:
             self.follower.wake()
             await asyncio.sleep(0)
         self.wanted.add_named('m', 3, now + 1)
-        await self.until_served(2)
-        self.origin.lacks = set()
-        await self.until_served(3)
-        self.check_taken(2, 3)
+        await self.wait_until_served(2)
+        self.origin.missing_versions = set()
+        await self.wait_until_served(3)
+        self.assert_loaded(2, 3)
 
-    async def test_older_version_is_left_out(self) -> None:
-        """The newer can be whole in time: one change, and one transfer."""
+    async def test_older_version_is_skipped(self) -> None:
+        """The newer can be complete in time: one change and one transfer."""
         self.engine.serving = 1
         self.follower.report = await self.engine.report()
         now = SystemClock().now()
         self.wanted.add_named('m', 2, now)
         self.wanted.add_named('m', 3, now)
-        await self.until_served(3)
-        self.check_taken(3)
+        await self.wait_until_served(3)
+        self.assert_loaded(3)
 
 
 class ByNamingTest(FollowerRig):
-    """Where versions are weighed by when they were named."""
+    """Where the plan uses only the times of naming."""
 
     decisions = Decisions(version_plan='by-naming')
 
-    async def test_next_version_is_fetched_while_one_waits_to_be_taken(
+    async def test_next_version_is_fetched_while_one_waits_to_be_loaded(
         self,
     ) -> None:
-        """The link is free once all of a version is here."""
+        """The link is free once all chunks of a version are held."""
         self.engine.serving = 1
         self.follower.report = await self.engine.report()
         now = SystemClock().now()
@@ -326,8 +328,8 @@
                 self.follower.wake()
                 await asyncio.sleep(0.01)
         self.assertEqual(self.engine.serving, 1)
-        await self.until_served(3)
-        self.check_taken(2, 3)
+        await self.wait_until_served(3)
+        self.assert_loaded(2, 3)
 
 
 if __name__ == '__main__':
--- a/tests/test_silent_peers.py
+++ b/tests/test_silent_peers.py
@@ -110,7 +110,7 @@
         """Peers that fall silent are passed over, one that flows is not."""
         peers = Peers(AIM.name)
         origin = FakeOrigin()
-        origin.away = True
+        origin.unreachable = True
         fetching = VersionDownloads(
             self.slot.agent._tools,
             FakeEngine(),
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -11,9 +11,9 @@
 from linnetwood.weights.inflow import Inflow
 from linnetwood.weights.reading import (
     DirectReading,
+    PreviousTurns,
     Ring,
     SharedReading,
-    PreviousTurns,
 )
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
 from linnetwood.weights.takeover import OriginFailure
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""When a reader takes a chunk over after the origin was away."""
+"""When a reader takes a chunk over after an origin outage."""
 
 import unittest
 
@@ -14,56 +14,62 @@
 FAILED_AT = 10.0
 
 
-def away(
+def origin_failure(
     answered_at: float | None,
     seen_elsewhere_at: float | None = None,
     unread: int = 40,
     *,
     is_first: bool = True,
 ) -> OriginFailure:
-    """Give what is known of an origin that failed at a time."""
+    """Return what is known of an origin that failed at FAILED_AT."""
     return OriginFailure(
         FAILED_AT, answered_at, seen_elsewhere_at, unread, is_first
     )
 
 
 class TakeOverTest(unittest.TestCase):
-    """Each rank of reader, with more or less known."""
+    """Readers of each rank, with different knowledge of the origin."""
 
-    def due(self, rank: int, seen: OriginFailure) -> float:
-        """Ask the way that waits for the rest."""
-        return after_unread_chunks(rank, seen, TAKEOVER_S, CHUNK_S)
+    def due(self, rank: int, failure: OriginFailure) -> float:
+        """Return the time by the policy that waits for all unread chunks."""
+        return after_unread_chunks(rank, failure, TAKEOVER_S, CHUNK_S)
 
     def test_the_first_reader_tries_at_once(self) -> None:
-        """It finds out whether the origin is back; pauses are another's."""
-        for way in TAKEOVERS.values():
-            self.assertEqual(way(0, away(None), TAKEOVER_S, CHUNK_S), FAILED_AT)
+        """It probes the origin; pauses after failures are kept elsewhere."""
+        for policy in TAKEOVERS.values():
+            self.assertEqual(
+                policy(0, origin_failure(None), TAKEOVER_S, CHUNK_S), FAILED_AT
+            )
 
-    def test_others_wait_for_what_is_unread(self) -> None:
-        """All of it shares the link, so one read may take that long."""
+    def test_later_readers_wait_for_unread_chunks(self) -> None:
+        """Unread chunks share the link, so one read may take that long."""
         expected = 12 + TAKEOVER_S + 40 * CHUNK_S
-        self.assertEqual(self.due(1, away(12)), expected)
-        self.assertGreater(self.due(2, away(12)), self.due(1, away(12)))
-        self.assertEqual(self.due(1, away(12, unread=0)), 12 + TAKEOVER_S)
+        self.assertEqual(self.due(1, origin_failure(12)), expected)
+        self.assertGreater(
+            self.due(2, origin_failure(12)), self.due(1, origin_failure(12))
+        )
+        self.assertEqual(
+            self.due(1, origin_failure(12, unread=0)), 12 + TAKEOVER_S
+        )
 
-    def test_whoever_reads_first_elsewhere_waits_for_that(self) -> None:
-        """Its own first read tells that the origin is back."""
-        late = self.due(1, away(None))
-        self.assertEqual(self.due(1, away(None, 12)), late)
-        self.assertGreater(late, self.due(1, away(12)))
+    def test_first_readers_wait_for_their_own_read(self) -> None:
+        """Only its own read shows that the origin is reachable again."""
+        late = self.due(1, origin_failure(None))
+        self.assertEqual(self.due(1, origin_failure(None, 12)), late)
+        self.assertGreater(late, self.due(1, origin_failure(12)))
         self.assertLess(late, FAILED_AT + 10)
 
-    def test_whoever_reads_nothing_first_looks_at_others(self) -> None:
-        """What they hold more than before tells that the origin is back."""
-        told = self.due(1, away(None, 12, is_first=False))
-        self.assertEqual(told, 12 + TAKEOVER_S + 40 * CHUNK_S)
-        untold = self.due(1, away(None, is_first=False))
-        self.assertEqual(untold, self.due(1, away(None)))
+    def test_vms_without_a_first_read_watch_their_peers(self) -> None:
+        """New chunks at peers show that the origin is reachable again."""
+        confirmed = self.due(1, origin_failure(None, 12, is_first=False))
+        self.assertEqual(confirmed, 12 + TAKEOVER_S + 40 * CHUNK_S)
+        unconfirmed = self.due(1, origin_failure(None, is_first=False))
+        self.assertEqual(unconfirmed, self.due(1, origin_failure(None)))
 
-    def test_by_time_alone(self) -> None:
-        """Each rank waits a time."""
+    def test_fixed_wait(self) -> None:
+        """Each rank waits for the takeover time once more."""
         self.assertEqual(
-            after_fixed_wait(2, away(12), TAKEOVER_S, CHUNK_S),
+            after_fixed_wait(2, origin_failure(12), TAKEOVER_S, CHUNK_S),
             FAILED_AT + 2 * TAKEOVER_S,
         )
 
