--- a/src/linnetwood/weights/agent.py
+++ b/src/linnetwood/weights/agent.py
@@ -21,9 +21,9 @@
 from linnetwood.weights.reading import (
     DirectReading,
     OriginPolicy,
+    PreviousTurns,
     Ring,
     SharedReading,
-    Turns,
 )
 from linnetwood.weights.staging import Staging
 from linnetwood.weights.swarmoptions import SwarmOptions
@@ -275,7 +275,7 @@
         self,
         name: str,
         manifest: chunks.Manifest,
-        before: Turns | None = None,
+        before: PreviousTurns | None = None,
     ) -> OriginPolicy:
         count = len(manifest.digests)
         if self._tools.cfg.reading == 'direct':
@@ -312,7 +312,7 @@
         # VMs that have left the fleet lose their turns at the origin.
         swarm = download.swarm
         elapsed_s = self._tools.clock.now() - swarm.started_at
-        before = Turns(swarm.policy.turns(), elapsed_s)
+        before = PreviousTurns(swarm.policy.assigned(), elapsed_s)
         swarm.policy = self._make_policy(
             download.name,
             download.manifest,
--- a/src/linnetwood/weights/swarm.py
+++ b/src/linnetwood/weights/swarm.py
@@ -8,11 +8,11 @@
 from linnetwood.core.backoff import pause_s
 from linnetwood.weights import chunks
 from linnetwood.weights.inboundlink import InFlightChunk, InboundLink
-from linnetwood.weights.reading import TAKERS, DueTimes, OriginPolicy
+from linnetwood.weights.reading import READERS_PER_CHUNK, DueTimes, OriginPolicy
 from linnetwood.weights.silentpeers import SilentPeers
 from linnetwood.weights.swarmoptions import SwarmOptions
-from linnetwood.weights.takeover import Away
-from linnetwood.weights.versionplan import Brought
+from linnetwood.weights.takeover import OriginFailure
+from linnetwood.weights.versionplan import ChunkProgress
 
 ORIGIN = ''
 _BAD_CHUNK_BLOCK_S = 60.0
@@ -112,7 +112,9 @@
         self._read_order = rng.sample(range(count), count)
         self._peers_first = False
         self._silent_peers = SilentPeers()
-        turns_s = count * cfg.chunk_origin_s + TAKERS * cfg.takeover_s
+        turns_s = (
+            count * cfg.chunk_origin_s + READERS_PER_CHUNK * cfg.takeover_s
+        )
         self._turns_end_at = now + turns_s
         # Set while another version has priority: peers get no requests then.
         self.origin_only = False
@@ -322,7 +324,7 @@
 
     def _due_from_origin(self, now: float) -> Iterator[int]:
         outage = self._origin_outage(now)
-        for index in self._missing(self.policy.turns()):
+        for index in self._missing(self.policy.assigned()):
             due = (
                 None
                 if self._holder_counts[index]
@@ -338,10 +340,10 @@
             yield from (
                 chunk
                 for chunk in self._missing(candidates)
-                if self.policy.alone_at(chunk, since) <= now
+                if self.policy.fallback_at(chunk, since) <= now
             )
 
-    def _origin_outage(self, now: float) -> Away | None:
+    def _origin_outage(self, now: float) -> OriginFailure | None:
         """Describe the origin's outage; None if no read from it failed."""
         if self._origin_failed_at is None:
             return None
@@ -351,13 +353,13 @@
             and available.bit_count() > self._available_at_failure
         ):
             self._others_read_at = now
-        own_turns = chunks.indices(self.policy.turns() & ~available)
-        return Away(
+        own_turns = chunks.indices(self.policy.assigned() & ~available)
+        return OriginFailure(
             self._origin_failed_at,
             self._origin_answered_at,
             self._others_read_at,
             self.count - available.bit_count(),
-            not all(map(self.policy.takes_over, own_turns)),
+            not all(map(self.policy.is_takeover, own_turns)),
         )
 
     def _missing(self, candidates: int) -> Iterator[int]:
@@ -367,11 +369,13 @@
             if candidates >> index & 1 and index not in self.pending:
                 yield index
 
-    def _origin_due_at(self, index: int, outage: Away | None) -> float | None:
+    def _origin_due_at(
+        self, index: int, outage: OriginFailure | None
+    ) -> float | None:
         due = self.policy.due_at(index, self.started_at)
         if due is None or outage is None:
             return due
-        return max(due, self.policy.again_at(index, outage))
+        return max(due, self.policy.retry_at(index, outage))
 
     def _plan_peers(self, now: float) -> Iterator[Fetch]:
         in_progress = sum(
@@ -478,9 +482,9 @@
             self._holder_counts[index] += change
 
 
-def progress_of(swarm: Swarm) -> Brought:
+def progress_of(swarm: Swarm) -> ChunkProgress:
     """Count a version's chunks: all, not held here, held by no known VM."""
-    return Brought(
+    return ChunkProgress(
         swarm.count,
         swarm.count - swarm.held.bit_count(),
         swarm.count - swarm.available.bit_count(),
--- a/tests/test_silent_peers.py
+++ b/tests/test_silent_peers.py
@@ -8,7 +8,7 @@
 from linnetwood.gen.wire.ttypes import ChunkReply
 from linnetwood.weights import chunks
 from linnetwood.weights.enginecontroller import Target
-from linnetwood.weights.fetching import Aim, Fetching
+from linnetwood.weights.fetching import ModelVersion, VersionDownloads
 from linnetwood.wire import frames
 from linnetwood.wire.codec import encode
 from linnetwood.wire.frames import FrameKind
@@ -20,7 +20,7 @@
 SILENT = '127.0.0.2'
 HALF_SENT = '127.0.0.3'
 SLOW = '127.0.0.4'
-AIM = Aim('m', 2)
+AIM = ModelVersion('m', 2)
 WANTED = manifest(AIM.version)
 NAME = chunks.digest_name(WANTED.encode())
 SLOW_S = 3
@@ -112,15 +112,15 @@
         """Silent peers are skipped, a slow one that sends bytes is not."""
         peers = Peers(AIM.name)
         origin = FakeOrigin()
-        origin.away = True
-        fetching = Fetching(
+        origin.unreachable = True
+        fetching = VersionDownloads(
             self.slot.agent._tools,
             FakeEngine(),
             origin,
             await peers.start(),
             asyncio.Event().set,
         )
-        fetching.around.peers = {SILENT: 'z', HALF_SENT: 'z', SLOW: 'z'}
+        fetching.fleet.peers = {SILENT: 'z', HALF_SENT: 'z', SLOW: 'z'}
         async with asyncio.timeout(GUARD_S):
             found = await fetching._manifest(AIM)
         await fetching.close()
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -8,10 +8,15 @@
 from linnetwood.fleet.wanted import START_MARGIN_S
 from linnetwood.weights import chunks
 from linnetwood.weights.inboundlink import InboundLink
-from linnetwood.weights.reading import DirectReading, Ring, SharedReading, Turns
+from linnetwood.weights.reading import (
+    DirectReading,
+    PreviousTurns,
+    Ring,
+    SharedReading,
+)
 from linnetwood.weights.swarm import ORIGIN, Fetch, Swarm
 from linnetwood.weights.swarmoptions import SwarmOptions
-from linnetwood.weights.takeover import Away
+from linnetwood.weights.takeover import OriginFailure
 
 COUNT = 8
 # Time of one chunk on a link of the stated rate.
@@ -21,11 +26,11 @@
 class NoOriginReads:
     """Never read from the origin."""
 
-    def again_at(self, index: int, away: Away) -> float:
+    def retry_at(self, index: int, away: OriginFailure) -> float:
         """Give any time; no chunk has a turn."""
         return away.failed_at
 
-    def alone_at(self, index: int, since: float) -> float:
+    def fallback_at(self, index: int, since: float) -> float:
         """Give no time."""
         return math.inf
 
@@ -33,11 +38,11 @@
         """Give no time."""
         return None
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give no chunk."""
         return 0
 
-    def takes_over(self, index: int) -> bool:
+    def is_takeover(self, index: int) -> bool:
         """Take over no chunk."""
         return False
 
@@ -158,7 +163,7 @@
         """A turn gained by a change of the fleet waits for `takeover_s`."""
         cfg = SwarmOptions(chunk_origin_s=1, takeover_s=10)
         ring = Ring('m', ['a'])
-        before = Turns(0b1, 5)
+        before = PreviousTurns(0b1, 5)
         policy = SharedReading('a', ring, COUNT, cfg, before)
         self.assertEqual([policy.due_at(index, 0) for index in (0, 1)], [0, 15])
 
@@ -279,7 +284,7 @@
         """Give the start for the given chunks, else no time."""
         return started if self._among >> index & 1 else None
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give the chunks to read."""
         return self._among
 
@@ -420,7 +425,7 @@
         """Give the start."""
         return started
 
-    def turns(self) -> int:
+    def assigned(self) -> int:
         """Give every chunk."""
         return chunks.full_bitmap(COUNT)
 
