--- a/src/linnetwood/weights/follower.py
+++ b/src/linnetwood/weights/follower.py
@@ -80,12 +80,12 @@
 
     @property
     def fleet(self) -> FleetInfo:
-        """Return what is known of the fleet."""
+        """Return what entries reported of the fleet."""
         return self._downloads.fleet
 
     @property
     def download(self) -> Download | None:
-        """Return the download of the next version, or None before it."""
+        """Return the download of the target version, if it has started."""
         return None if self.target is None else self._downloads.get(self.target)
 
     def start(self) -> None:
--- a/src/linnetwood/weights/versionplan.py
+++ b/src/linnetwood/weights/versionplan.py
@@ -64,7 +64,7 @@
 
 
 class ByNaming:
-    """Choose once, only by the times of naming and this VM's link."""
+    """Choose by the times of naming and this VM's link; ignore progress."""
 
     def choose_version(self, wanted: WantedVersions, inputs: PlanInputs) -> int:
         """Return the version to fetch next."""
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -196,9 +196,9 @@
             fetching,
             'progress_of',
             side_effect=fetching.progress_of,
-        ) as brought:
+        ) as progress_of:
             await self.follower._step()
-        self.assertEqual(brought.call_count, 1)
+        self.assertEqual(progress_of.call_count, 1)
 
     async def test_corrupt_chunk_is_read_again(self) -> None:
         """A chunk with a wrong digest is neither stored nor staged."""
--- a/tests/test_versionplan.py
+++ b/tests/test_versionplan.py
@@ -91,7 +91,7 @@
         """With versions 4 s apart, a half-fetched older one is not abandoned.
 
         The newer one instead would be complete 1 s after the older one's bound;
-        fetched one after the other, both are complete about in time.
+        fetched one after the other, both are complete roughly in time.
         """
         wanted = named(0, 4)
         half = ChunkProgress(COUNT, 48, 10)
