--- a/src/linnetwood/calls/routing.py
+++ b/src/linnetwood/calls/routing.py
@@ -229,38 +229,45 @@
         now: float,
     ) -> Member | None:
         """Give the endpoint for a call, or None if there is none."""
-        able = self._candidates(query, tried)
-        if not able:
+        eligible = self._candidates(query, tried)
+        if not eligible:
             return None
-        roomy = [
-            member for member in able if self._has_room(member, now)
-        ] or able
-        candidates = [self._candidate(member, now) for member in roomy]
+        with_room = [
+            member for member in eligible if self._has_room(member, now)
+        ] or eligible
+        candidates = [self._candidate(member, now) for member in with_room]
         return self._policy.choose(candidates, self._rng).member
 
     def sample(self, query: EndpointQuery) -> Member | None:
         """Give a random endpoint to probe for its load."""
-        able = self._candidates(query, ())
-        return self._rng.choice(able) if able else None
+        eligible = self._candidates(query, ())
+        return self._rng.choice(eligible) if eligible else None
 
     def _candidates(
         self, query: EndpointQuery, tried: Collection[str]
     ) -> list[Member]:
-        able = [
+        eligible = [
             member
             for member in self._members.values()
             if member.vm not in tried and _is_eligible(member, query)
         ]
-        return self._serving_wanted(query.model, able) if query.model else able
+        return (
+            self._serving_wanted(query.model, eligible)
+            if query.model
+            else eligible
+        )
 
-    def _serving_wanted(self, model: str, able: list[Member]) -> list[Member]:
+    def _serving_wanted(
+        self, model: str, eligible: list[Member]
+    ) -> list[Member]:
         wanted = self._wanted_labels.get(model, set())
-        found = [member for member in able if member.serving in wanted]
-        if found:
-            return found
-        # Versions changed faster than they arrived: use any declared one.
+        serving = [member for member in eligible if member.serving in wanted]
+        if serving:
+            return serving
+        # Versions changed faster than they arrived. Any declared version will
+        # do, since endpoints serve only complete versions.
         declared = self._declared_labels.get(model, set())
-        return [member for member in able if member.serving in declared]
+        return [member for member in eligible if member.serving in declared]
 
     def _has_room(self, member: Member, now: float) -> bool:
         """Tell whether it is healthy and has free slots for this entry.
@@ -290,5 +297,5 @@
         return False
     if member.kind != query.kind:
         return False
-    named = (query.vm, query.incarnation)
-    return not query.vm or (member.vm, member.incarnation) == named
+    owner = (query.vm, query.incarnation)
+    return not query.vm or (member.vm, member.incarnation) == owner
--- a/src/linnetwood/calls/warmuplimiter.py
+++ b/src/linnetwood/calls/warmuplimiter.py
@@ -17,7 +17,8 @@
 # An unused send time is valid for this long: calls are counted over 1 s.
 _MAX_LATE_S = 0.1
 # After the end of an evacuation, and after an endpoint was unreachable, it is
-# assumed cold for this time, until its own heartbeat may tell: every 1.2 s.
+# assumed cold for this time, until its own heartbeat may have arrived. These
+# come every 1.2 s.
 ASSUMED_COLD_S = 2.0
 
 
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -103,7 +103,7 @@
             self.assertLessEqual(len(gone), 1)
 
     def test_a_zone_without_engines(self) -> None:
-        """Its entries select the same hosts, which so know all of them."""
+        """Its entries select the same hosts, which then know all of them."""
         places = {'e1': 'z1', 'e2': 'z2'}
         found = {
             tuple(select_hosts(entry, 'z3', places))
--- a/tests/test_passed_notices.py
+++ b/tests/test_passed_notices.py
@@ -17,12 +17,14 @@
 
     def test_every_interval_meets_a_round(self) -> None:
         """Guard against entries whose reports always come between rounds."""
-        for pace_s in (0.1, 0.2, 0.25, 0.4, 0.5, 1, 2):
+        for interval_s in (0.1, 0.2, 0.25, 0.4, 0.5, 1, 2):
             last = LatestNotice()
             last.update(EngineSaid(1, 2000), 0.07)
-            times = [count * pace_s for count in range(1, int(40 / pace_s))]
+            times = [
+                count * interval_s for count in range(1, int(40 / interval_s))
+            ]
             known = [at for at in times if at > 1 and last.for_report(at, 0.1)]
-            with self.subTest(pace_s=pace_s):
+            with self.subTest(interval_s=interval_s):
                 self.assertTrue(known)
 
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -217,7 +217,7 @@
         self.endpoint = Endpoint('e0', 'pool', 'e0', 80, 'z0', 8, ready=True)
         self.times: list[float] = []
         self.rng = Random(entries)
-        self.listeners = ReportSubscribers(-2.0)
+        self.subscribers = ReportSubscribers(-2.0)
         self.entries = [
             Entry(f'a{number}', f'z{number % zones}', self)
             for number in range(entries)
@@ -229,12 +229,12 @@
         steps = int((until - self.now) / STEP_S)
         for _ in range(steps):
             self.now += STEP_S
-            self.talk()
+            self.exchange()
             for entry in self.entries:
                 if share >= 1 or self.rng.random() < share:
                     entry.step(self.now)
 
-    def talk(self) -> None:
+    def exchange(self) -> None:
         """Let entries subscribe to the process and get its reports."""
         subscribed = [
             (number, entry)
@@ -242,21 +242,23 @@
             if entry.stands_for and entry.is_reachable
         ]
         for number, entry in subscribed:
-            greeting = ReportSubscription(
+            subscription = ReportSubscription(
                 int(self.now * 10) + 99, entry.zone, 0.1, entry.stands_for
             )
-            self.listeners.subscribe((f'a{number}', 1), greeting, self.now)
-        self.listeners.expire(self.now)
-        reports = {near: self.report(near=near) for near in (True, False)}
+            self.subscribers.subscribe(
+                (f'a{number}', 1), subscription, self.now
+            )
+        self.subscribers.expire(self.now)
+        reports = {same: self.report(same_zone=same) for same in (True, False)}
         for _, entry in subscribed:
             entry.stats.record_report(reports[entry.zone == 'z0'])
 
-    def report(self, *, near: bool) -> Report:
+    def report(self, *, same_zone: bool) -> Report:
         """Give the report to entries of the same zone, or to the others."""
-        part = self.listeners.quota_share('z0', self.now, near=near)
+        quota = self.subscribers.quota_share('z0', self.now, near=same_zone)
         notice = Notice(self.limit, complete=True)
         report = Report(0, 1, 1, changing=False, received_at=self.now)
-        return dataclasses.replace(report, notice=notice, quota=part)
+        return dataclasses.replace(report, notice=notice, quota=quota)
 
 
 def fleets(limit: float) -> Iterator[Fleet]:
@@ -269,7 +271,7 @@
 class FleetLimitTest(unittest.TestCase):
     """The sum of calls over all entries, in virtual time."""
 
-    def within(self, fleet: Fleet) -> None:
+    def assert_within_limit(self, fleet: Fleet) -> None:
         """Check the calls that came after each entry knew the limit."""
         self.assertLessEqual(most_in_span(fleet.times), allowed(fleet.limit))
 
@@ -279,7 +281,7 @@
             for fleet in fleets(limit):
                 fleet.play(PLAYED_S)
                 with self.subTest(limit=limit, entries=fleet.known_entries):
-                    self.within(fleet)
+                    self.assert_within_limit(fleet)
 
     def test_the_limit_is_used(self) -> None:
         """Guard against an idle endpoint whose recovery no entry learns."""
@@ -296,7 +298,7 @@
         """Guard against 13 calls in 4 s by chance: this seed produced them."""
         fleet = Fleet(FLEETS[-1], 1, has_process=False, seed='s24-')
         fleet.play(PLAYED_S)
-        self.within(fleet)
+        self.assert_within_limit(fleet)
 
     def test_a_limit_above_the_load_delays_nothing(self) -> None:
         """Guard against refused calls below the limit at short intervals."""
@@ -323,7 +325,7 @@
                 fleet.now += idle_s
             fleet.play(fleet.now + PLAYED_S / 2)
             with self.subTest(entries=fleet.known_entries):
-                self.within(fleet)
+                self.assert_within_limit(fleet)
 
     def test_entries_that_restart(self) -> None:
         """Guard against restarted entries that use their quota anew."""
@@ -333,7 +335,7 @@
                 entry = fleet.entries[number % fleet.known_entries]
                 entry.start(number)
             with self.subTest(entries=fleet.known_entries):
-                self.within(fleet)
+                self.assert_within_limit(fleet)
 
     def test_a_zone_that_is_cut_off_from_the_process(self) -> None:
         """Guard against quotas assigned twice: also to entries cut off."""
@@ -346,7 +348,7 @@
                 entry.is_reachable = True
             fleet.play(PLAYED_S * 1.5)
             with self.subTest(entries=fleet.known_entries):
-                self.within(fleet)
+                self.assert_within_limit(fleet)
 
     def test_more_entries_than_are_known(self) -> None:
         """Guard against a count of entries that is a fifth too low."""
@@ -354,7 +356,7 @@
             fleet.known_entries = max(1, int(fleet.known_entries / 1.2))
             fleet.play(PLAYED_S)
             with self.subTest(entries=fleet.known_entries):
-                self.within(fleet)
+                self.assert_within_limit(fleet)
 
     def test_a_limit_that_ends_is_forgotten(self) -> None:
         """Guard against send times kept for a limit that has ended."""
