--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -515,8 +515,8 @@
     ) -> Ending:
         """End a call for which no endpoint is available.
 
-        `limited_s` is the time in seconds until a rate limit or a requested
-        rest of an endpoint is over, 0 if neither is the reason.
+        `rate_limited_s` is the time in seconds until a rate limit or a
+        requested rest of an endpoint is over, 0 if neither is the reason.
         """
         ending = self.ending(answer, Code.NO_ENDPOINT)
         if ending.outcome is not Outcome.NOT_RUN or not rate_limited_s:
