--- a/tests/test_relaying.py
+++ b/tests/test_relaying.py
@@ -319,7 +319,7 @@
 
         run_scenario(act)
 
-    def test_ages_come_along(self) -> None:
+    def test_ages_are_relayed(self) -> None:
         """An entry that gets a change late knows the change's age."""
 
         async def act(zone: Zone) -> None:
@@ -396,22 +396,24 @@
         started = min(started, len(writes))
         known = min(known, len(writes))
         mirror = Mirror()
-        mirror.replace_all(Snapshot(_play(writes[:started]), started), 0)
+        mirror.replace_all(
+            Snapshot(_records_after(writes[:started]), started), 0
+        )
         for revision, (key, deleted) in enumerate(writes, 1):
             record = None if deleted else Record(b'', revision)
             if revision > started:
                 mirror.apply_changes((Change(key, record),), revision, 0)
         delta = mirror.delta_since(known, 0)
-        held = {} if delta.whole else _play(writes[:known])
+        held = {} if delta.whole else _records_after(writes[:known])
         for change in delta.changes:
             held.pop(change.key, None)
             if change.record is not None:
                 held[change.key] = change.record
         self.assertEqual(delta.revision, len(writes))
-        self.assertEqual(held, _play(writes))
+        self.assertEqual(held, _records_after(writes))
 
 
-def _play(writes: list[tuple[str, bool]]) -> dict[str, Record]:
+def _records_after(writes: list[tuple[str, bool]]) -> dict[str, Record]:
     held: dict[str, Record] = {}
     for revision, (key, deleted) in enumerate(writes, 1):
         held.pop(key, None)
--- a/tests/test_relaying_troubles.py
+++ b/tests/test_relaying_troubles.py
@@ -116,7 +116,7 @@
                 MemoryNet, 'dial', autospec=True, side_effect=MemoryNet.dial
             ) as dial:
                 await asyncio.sleep(10)
-            # Each entry dials once in 2 s.
+            # At most one dial in 2 s by each entry.
             self.assertLess(dial.call_count, 5 * zones.ENTRIES)
 
         zones.run_scenario(act)
@@ -125,7 +125,7 @@
 class AgeTest(unittest.TestCase):
     """The age of a follower's view."""
 
-    def test_age_counts_from_the_begin_of_an_answer(self) -> None:
+    def test_age_counts_from_the_start_of_an_answer(self) -> None:
         """A change written while an answer arrives is not part of it."""
 
         async def scenario() -> None:
