--- a/src/linnetwood/calls/frontend.py
+++ b/src/linnetwood/calls/callserver.py
@@ -74,7 +74,7 @@
         """Return the urgency if the call is admitted, else its ending."""
 
 
-class Frontend(HTTPServerConnectionDelegate):
+class CallServerDelegate(HTTPServerConnectionDelegate):
     """Accept connections of callers and run their calls."""
 
     def __init__(
@@ -126,11 +126,11 @@
 
     def __init__(
         self,
-        frontend: Frontend,
+        delegate: CallServerDelegate,
         server_conn: object,
         conn: HTTPConnection,
     ) -> None:
-        self._frontend = frontend
+        self._delegate = delegate
         self._server_conn = server_conn
         self._conn = conn
         self._start_line: RequestStartLine | None = None
@@ -146,7 +146,7 @@
         headers: HTTPHeaders,
     ) -> None:
         """Store the head."""
-        self._frontend.idle_connections.pop(self._server_conn, None)
+        self._delegate.idle_connections.pop(self._server_conn, None)
         assert isinstance(start_line, RequestStartLine)
         self._start_line = start_line
         self._headers = list(headers.get_all())
@@ -161,7 +161,7 @@
         if _http1(self._conn).stream.closed():
             # The request crossed our close; no one would receive an answer.
             return
-        self._frontend.active_calls += 1
+        self._delegate.active_calls += 1
         self._task = asyncio.create_task(self._run())
         # Without this the library reports a closed connection only while it
         # reads.
@@ -177,15 +177,15 @@
         _http1(self._conn).stream.close()
 
     async def _run(self) -> None:
-        writer = AnswerWriter(self._conn, self._frontend)
+        writer = AnswerWriter(self._conn, self._delegate)
         try:
             ending = await self._answer(writer)
         except asyncio.CancelledError:
             log(Event.CALL_CUT, call=self._call_id, code='caller-gone')
             return
         finally:
-            self._frontend.active_calls -= 1
-        metrics = self._frontend.metrics
+            self._delegate.active_calls -= 1
+        metrics = self._delegate.metrics
         if ending.outcome is Outcome.ANSWERED:
             metrics.count(Metric.CALLS_ANSWERED)
             return
@@ -197,14 +197,14 @@
             refuse(writer, ending)
 
     async def _answer(self, writer: 'AnswerWriter') -> Ending:
-        if self._frontend.leaving:
+        if self._delegate.leaving:
             # It arrived on a connection that an earlier answer kept open.
             return not_run(Code.STOPPING, '', _RETRY_ELSEWHERE_MS)
         call = self._read()
         if isinstance(call, Ending):
             return call
         self._call_id = call.head.call_id
-        admitted = self._frontend.admit(call)
+        admitted = self._delegate.admit(call)
         if isinstance(admitted, Ending):
             log(
                 Event.CALL_REFUSED,
@@ -216,7 +216,7 @@
                 retry_after_ms=admitted.retry_after_ms,
             )
             return admitted
-        ending = await self._frontend.dispatcher.run(call, writer, admitted)
+        ending = await self._delegate.dispatcher.run(call, writer, admitted)
         if ending.outcome is not Outcome.ANSWERED:
             log(
                 Event.CALL_NOT_RUN
@@ -234,31 +234,33 @@
         start_line = self._start_line
         if start_line is None:
             return not_run(Code.BAD_REQUEST, 'no request line')
-        frontend = self._frontend
+        delegate = self._delegate
         incoming = IncomingRequest(
             start_line.method,
             start_line.path,
             self._headers,
             b''.join(self._pieces),
             self._arrived_at,
-            frontend.config_basis(),
+            delegate.config_basis(),
         )
         call = read_call(
-            incoming, frontend.route_table(), frontend.dialect, frontend.rng
+            incoming, delegate.route_table(), delegate.dialect, delegate.rng
         )
         if isinstance(call, Ending) and call.code in _UNPLACED_CODES:
-            return _refuse_unplaced(incoming, call, frontend)
+            return _refuse_unplaced(incoming, call, delegate)
         return call
 
 
 class AnswerWriter:
     """Write one answer on a caller's connection."""
 
-    def __init__(self, conn: HTTPConnection, frontend: Frontend) -> None:
+    def __init__(
+        self, conn: HTTPConnection, delegate: CallServerDelegate
+    ) -> None:
         """Start with nothing written."""
         self.begun = False
         self._conn = conn
-        self._frontend = frontend
+        self._delegate = delegate
 
     def begin(self, status: int, headers: Headers) -> None:
         """Write the head of a streamed answer."""
@@ -294,7 +296,7 @@
             fields.add(name, text)
         if length is not None:
             fields['Content-Length'] = str(length)
-        if self._frontend.stopping:
+        if self._delegate.stopping:
             fields['Connection'] = 'close'
         start_line = ResponseStartLine(
             'HTTP/1.1',
@@ -312,17 +314,17 @@
 
 
 def _refuse_unplaced(
-    incoming: IncomingRequest, ending: Ending, frontend: Frontend
+    incoming: IncomingRequest, ending: Ending, delegate: CallServerDelegate
 ) -> Ending:
     """Refuse finally, or with a retry delay if the configuration is stale."""
-    head = frontend.dialect.read(incoming.headers)
+    head = delegate.dialect.read(incoming.headers)
     reason = _unplaced_reason(ending, head)
     if not incoming.config_basis.is_stale:
         _log_unplaced(Event.CALL_UNPLACED, incoming, head, code=reason)
         return ending
     now = asyncio.get_running_loop().time()
     remaining_s = incoming.arrived_at + wait_limit_s(head) - now
-    after_s = LastPart(frontend.rng).after_s(remaining_s, now)
+    after_s = LastPart(delegate.rng).after_s(remaining_s, now)
     later = not_run(Code.BELIEF_OLD, reason, int(after_s * _MILLISECONDS))
     _log_unplaced(
         Event.CALL_REFUSED,
@@ -376,14 +378,14 @@
     writer.send_whole(status, headers, ending.code.encode())
 
 
-class FrontendServer(HTTPServer):
-    """Report closed connections to the frontend, and limit requests."""
+class CallServer(HTTPServer):
+    """Report closed connections to its delegate and limit requests."""
 
     def on_close(self, server_conn: object) -> None:
         """Pass on a close, which the library doesn't report to the callback."""
         super().on_close(server_conn)
         callback = self.request_callback
-        if isinstance(callback, Frontend):
+        if isinstance(callback, CallServerDelegate):
             callback.on_close(server_conn)
 
     def set_limits(self, limits: CallLimits) -> None:
@@ -398,10 +400,10 @@
         conn_params.body_timeout = _body_timeout_s(limits)
 
 
-def open_server(frontend: Frontend, limits: CallLimits) -> FrontendServer:
-    """Return the HTTP server for a frontend, with the configured limits."""
-    return FrontendServer(
-        frontend,
+def open_server(delegate: CallServerDelegate, limits: CallLimits) -> CallServer:
+    """Return an HTTP server for the delegate with the configured limits."""
+    return CallServer(
+        delegate,
         max_header_size=limits.header_bytes,
         max_body_size=limits.body_bytes,
         idle_connection_timeout=limits.idle_s,
--- a/src/linnetwood/lab/callsteps.py
+++ b/src/linnetwood/lab/callsteps.py
@@ -34,7 +34,7 @@
     (
         'read and answer callers',
         (
-            '/linnetwood/calls/frontend',
+            '/linnetwood/calls/callserver',
             '/linnetwood/calls/callparsing',
             '/linnetwood/platform/dialect',
             '/tornado/',
--- a/src/linnetwood/programs/resident_entry.py
+++ b/src/linnetwood/programs/resident_entry.py
@@ -6,10 +6,10 @@
 
 from tornado.httpserver import HTTPServer
 
+from linnetwood.calls.callserver import CallServerDelegate, open_server
 from linnetwood.calls.configbasis import ConfigAgeTracker
 from linnetwood.calls.direct import RetryLimits
 from linnetwood.calls.directory import Directory
-from linnetwood.calls.frontend import Frontend, open_server
 from linnetwood.calls.reports import Reports
 from linnetwood.calls.routetable import RouteTable
 from linnetwood.core.clock import SystemClock
@@ -97,7 +97,7 @@
             lambda: self._follower.confirmed_at,
             cfg.config_bound_s * _TRUSTED_PART,
         )
-        self.frontend = Frontend(
+        self.delegate = CallServerDelegate(
             lambda: self.route_table,
             self.dispatcher,
             path.dialect,
@@ -136,7 +136,7 @@
         )
         self._follower = self._news.follower
         self.reports.subscriptions.revision = lambda: self._follower.revision
-        self._callers = open_server(self.frontend, self.route_table.limits)
+        self._callers = open_server(self.delegate, self.route_table.limits)
         self._servers: list[HTTPServer] = []
 
     async def start(self) -> None:
@@ -152,7 +152,7 @@
     async def close(self) -> None:
         """Be taken out, finish what is under way, then go."""
         self._stopping = True
-        self.frontend.stopping = True
+        self.delegate.stopping = True
         await self._finish_calls()
         await self._crashes.close()
         await self._news.close()
@@ -193,15 +193,15 @@
         until = began + self._cfg.stop_within_s - _STOP_MARGIN_S
         while loop.time() < began + _BALANCER_SEES_S:
             await asyncio.sleep(_IDLE_CHECK_S)
-            self.frontend.close_idle()
+            self.delegate.close_idle()
         for server in self._servers:
             server.stop()
-        self.frontend.leaving = True
-        while self.frontend.active_calls and loop.time() < until:
+        self.delegate.leaving = True
+        while self.delegate.active_calls and loop.time() < until:
             await asyncio.sleep(_CHECK_S)
-            self.frontend.close_idle()
-        if self.frontend.active_calls:
-            log(Event.STOP_LIMIT_REACHED, in_flight=self.frontend.active_calls)
+            self.delegate.close_idle()
+        if self.delegate.active_calls:
+            log(Event.STOP_LIMIT_REACHED, in_flight=self.delegate.active_calls)
 
     def _share_retries(self) -> None:
         # All entries share one budget without talk: each takes its part.
--- a/tests/test_front.py
+++ b/tests/test_callserver.py
@@ -7,12 +7,12 @@
 
 from tornado.netutil import bind_sockets
 
+from linnetwood.calls.callserver import CallServerDelegate, open_server
 from linnetwood.calls.choice import Chooser
 from linnetwood.calls.configbasis import ConfigAgeTracker
 from linnetwood.calls.deadlineadmission import DeadlineAdmission
 from linnetwood.calls.direct import DirectDispatcher
 from linnetwood.calls.directory import Directory, Endpoint
-from linnetwood.calls.frontend import Frontend, open_server
 from linnetwood.calls.policy.retryafter import LastPart
 from linnetwood.calls.routetable import (
     CallLimits,
@@ -108,8 +108,8 @@
         return self.at
 
 
-class FrontendTest(unittest.IsolatedAsyncioTestCase):
-    """Connect to a frontend over sockets."""
+class CallServerTest(unittest.IsolatedAsyncioTestCase):
+    """Call a server over sockets."""
 
     async def asyncSetUp(self) -> None:
         self.route_table = ROUTE_TABLE
@@ -137,7 +137,7 @@
         self.config_age = ConfigAgeTracker(
             self.clock, lambda: self.store_answered_at
         )
-        self.frontend = Frontend(
+        self.delegate = CallServerDelegate(
             lambda: self.route_table,
             dispatcher,
             dialect,
@@ -146,7 +146,7 @@
             self.metrics,
             self.config_age.basis,
         )
-        self.server = open_server(self.frontend, ROUTE_TABLE.limits)
+        self.server = open_server(self.delegate, ROUTE_TABLE.limits)
         sockets = bind_sockets(0, HOST)
         self.server.add_sockets(sockets)
         self.port = int(sockets[0].getsockname()[1])
@@ -208,7 +208,7 @@
             self.clock, lambda: self.store_answered_at, max_age_s
         )
         config_age.adopted(ROUTE_TABLE)
-        self.frontend.config_basis = config_age.basis
+        self.delegate.config_basis = config_age.basis
 
     async def unplaced_lines(
         self, sent_request: bytes
@@ -295,7 +295,7 @@
         self.set_max_age(1.2)
         self.clock.at = 200.0
         await self.serve(says(GOOD))
-        self.assertTrue(self.frontend.config_basis().is_stale)
+        self.assertTrue(self.delegate.config_basis().is_stale)
         self.assertEqual((await self.send(request('/a/x')))[0][0], 200)
 
     async def test_values_from_callers_are_cut_in_the_log(self) -> None:
@@ -343,7 +343,7 @@
             if getattr(record, 'event', 0) == Event.ATTEMPT_ENDED
         ]
         self.assertEqual(lines, [[1, None, 1000, 2000]])
-        self.assertEqual(self.frontend.config_basis().version, 2)
+        self.assertEqual(self.delegate.config_basis().version, 2)
 
     async def test_no_configuration_yet(self) -> None:
         """Without a configuration a call gets 503, not 404."""
@@ -379,7 +379,7 @@
     async def test_stopping_process_closes_connections(self) -> None:
         """The last answer on a connection has a Connection: close."""
         await self.serve(says(GOOD))
-        self.frontend.stopping = True
+        self.delegate.stopping = True
         _, head, body = (await self.send(request('/a/x')))[0]
         self.assertIn(b'Connection: close', head)
         self.assertEqual(body, b'fine')
@@ -389,8 +389,8 @@
     ) -> None:
         """A call that may not finish before the process ends is not begun."""
         endpoint = await self.serve(says(GOOD))
-        self.frontend.stopping = True
-        self.frontend.leaving = True
+        self.delegate.stopping = True
+        self.delegate.leaving = True
         status, head, _ = (await self.send(request('/a/x')))[0]
         self.assertEqual(status, 503)
         self.assertIn(b'Connection: close', head)
@@ -414,7 +414,7 @@
         busy = asyncio.create_task(self.send(request('/a/x')))
         while not endpoint.requests:
             await asyncio.sleep(0)
-        self.frontend.close_idle()
+        self.delegate.close_idle()
         self.assertEqual(await idle.read(), b'')
         idle_writer.close()
         go.set()
@@ -427,7 +427,7 @@
             writer.close()
             await writer.wait_closed()
         async with asyncio.timeout(30):
-            while self.frontend.idle_connections:
+            while self.delegate.idle_connections:
                 await asyncio.sleep(0)
 
     async def test_disconnect_cancels_the_call(self) -> None:
@@ -442,7 +442,7 @@
         writer.close()
         async with asyncio.timeout(30):
             await gone.wait()
-        self.assertEqual(self.frontend.active_calls, 0)
+        self.assertEqual(self.delegate.active_calls, 0)
 
 
 if __name__ == '__main__':
--- a/tests/test_resident_entry.py
+++ b/tests/test_resident_entry.py
@@ -12,9 +12,9 @@
 from linnetwood.platform import records
 from linnetwood.platform.settings import Residence
 from linnetwood.programs.resident_entry import ResidentEntry
+from tests.test_callserver import request
 from tests.test_curldriver import HOST, ScriptedServer
 from tests.test_following import answer, row
-from tests.test_front import request
 from tests.test_records import CONFIG
 
 
@@ -64,10 +64,10 @@
 
     async def test_calls_are_told_by_what_is_in_force(self) -> None:
         """Nothing is known at first; then version, revision and both ages."""
-        self.assertEqual(self.entry.frontend.config_basis(), ConfigBasis())
+        self.assertEqual(self.entry.delegate.config_basis(), ConfigBasis())
         self.assertEqual(self.entry.config_age.store_age_s(), math.inf)
         await self.learn()
-        found = self.entry.frontend.config_basis()
+        found = self.entry.delegate.config_basis()
         self.assertEqual((found.version, found.revision), (7, 5))
         self.assertGreaterEqual(found.config_age_ms, 0)
         self.assertGreaterEqual(found.store_age_ms, found.config_age_ms)
@@ -128,13 +128,13 @@
 
     async def test_a_belief_is_old_beyond_a_share_of_the_bound(self) -> None:
         """It is no healthy entry's from 0.6 of two seconds on."""
-        self.assertTrue(self.entry.frontend.config_basis().is_stale)
+        self.assertTrue(self.entry.delegate.config_basis().is_stale)
         await self.learn()
         for age_s, old in ((0, False), (1, False), (1.21, True), (6, True)):
             with self.subTest(age_s=age_s):
                 now = asyncio.get_running_loop().time()
                 self.entry._follower.confirmed_at = now - age_s
-                self.assertIs(self.entry.frontend.config_basis().is_stale, old)
+                self.assertIs(self.entry.delegate.config_basis().is_stale, old)
 
     async def test_a_fresh_belief_refuses_for_good(self) -> None:
         """A route that the store has just not named is none."""
