--- a/tests/test_entrance.py
+++ b/tests/test_deadlineadmission.py
@@ -127,9 +127,9 @@
 
     def test_plain_services_admit_every_call(self) -> None:
         """Waits are predicted for engines only."""
-        desk = Service('desk', 10)
+        service = Service('desk', 10)
         self.assertIs(
-            self.admission(call(FIRST_ATTEMPT_WAIT_S, desk)),
+            self.admission(call(FIRST_ATTEMPT_WAIT_S, service)),
             Urgency.IN_TIME,
         )
 
@@ -208,8 +208,8 @@
 
     def test_plain_services_admit_retrying_callers(self) -> None:
         """Slots are reserved at engines only."""
-        desk = Service('desk', 10)
-        decision = self.admission(call(RETRY_WAIT_S, desk))
+        service = Service('desk', 10)
+        decision = self.admission(call(RETRY_WAIT_S, service))
         self.assertIs(decision, Urgency.IN_TIME)
 
 
