--- a/src/linnetwood/calls/admission.py
+++ b/src/linnetwood/calls/admission.py
@@ -56,7 +56,7 @@
         )
 
     async def enter(self, request: AdmissionRequest) -> Ending | None:
-        """Wait for a slot; give an ending if none is free in time."""
+        """Wait for a slot; return an ending if none is free in time."""
         queue = self._queue(request.target)
         decision = queue.submit(
             request.organisation,
--- a/src/linnetwood/calls/backend.py
+++ b/src/linnetwood/calls/backend.py
@@ -107,7 +107,7 @@
             self.sink.head(self.status, end_to_end_headers(self.lines), version)
 
     def header_value(self, name: str) -> str:
-        """Give a header's value, or an empty text."""
+        """Return a header's value, or an empty text."""
         for line in self.lines:
             key, _, text = line.partition(':')
             if key.lower() == name.lower():
--- a/src/linnetwood/calls/callers.py
+++ b/src/linnetwood/calls/callers.py
@@ -56,7 +56,7 @@
     """Admit calls and count those in flight."""
 
     async def enter(self, request: AdmissionRequest) -> Ending | None:
-        """Wait for a slot; give an ending if none is free in time."""
+        """Wait for a slot; return an ending if none is free in time."""
 
     def leave(self, request: AdmissionRequest, took_s: float) -> None:
         """Release the slot."""
@@ -227,7 +227,7 @@
 
     @property
     def headers_written(self) -> bool:
-        """Tell whether the status was sent to the caller."""
+        """Return whether the status was sent to the caller."""
         return self._headers_written
 
     def note_first_byte(self) -> None:
@@ -236,7 +236,7 @@
         self.context.metrics.timing(Metric.FIRST_BYTE_MS, waited_ms)
 
     def deadline(self) -> float:
-        """Give the caller's deadline, at most the entry's own limit."""
+        """Return the caller's deadline, at most the entry's own limit."""
         requested = self.request.headers.get(DEADLINE_HEADER, '')
         limit_s = self.context.timeout_s
         if requested.isdecimal():
@@ -358,10 +358,10 @@
 
 
 class Readiness(Protocol):
-    """Tell why the entry should get no calls."""
+    """Determine why the entry should get no calls."""
 
     def reason(self) -> str:
-        """Give the reason, or an empty text if the entry is ready."""
+        """Return the reason, or an empty text if the entry is ready."""
 
 
 def application(context: HandlerContext, ready: Readiness) -> Application:
@@ -411,7 +411,7 @@
 
 
 def service_want(name: str, key: str) -> EndpointQuery:
-    """Give the target of a service call; a key names a single endpoint."""
+    """Return the target of a service call; a key names a single endpoint."""
     if not key:
         return EndpointQuery(name)
     parsed = keys.parse(key)
@@ -419,7 +419,7 @@
 
 
 def find_service(deployment: Deployment, name: str) -> Service | None:
-    """Give the declaration of a service, or None."""
+    """Return the declaration of a service, or None."""
     for service in deployment.services:
         if service.name == name:
             return service
@@ -427,12 +427,12 @@
 
 
 def runs_once(service: Service, path: str) -> bool:
-    """Tell whether calls to the path may run at most once."""
+    """Return whether calls to the path may run at most once."""
     return any(path.startswith(prefix) for prefix in service.once_paths)
 
 
 def service_path(req: HTTPServerRequest, name: str) -> str:
-    """Give the path and query as the service sees them."""
+    """Return the path and query as the service sees them."""
     return (req.uri or '')[len(f'/services/{name}') :] or '/'
 
 
--- a/src/linnetwood/calls/candidates.py
+++ b/src/linnetwood/calls/candidates.py
@@ -38,7 +38,7 @@
 def select_hosts(
     entry_host: str, zone: str, places: Mapping[str, str]
 ) -> dict[str, float]:
-    """Give the hosts to subscribe to, and how many entries this one stands for.
+    """Return the hosts to subscribe to and the number of entries represented.
 
     Places are zones by host. Each host gets the subscriptions of only a part of
     the entries; the numbers it gets add up to about the number of all entries.
@@ -127,7 +127,7 @@
 
 
 class Candidates:
-    """Give the engines to compare for a call, preferred ones first."""
+    """Select the engines to compare for a call, preferred ones first."""
 
     __slots__ = ('_change_count', '_directory', '_preferred_hosts', '_cache')
 
--- a/src/linnetwood/calls/choice.py
+++ b/src/linnetwood/calls/choice.py
@@ -82,7 +82,7 @@
         self._rng = rng
 
     def stats_of(self, incarnation_id: str) -> EndpointStats:
-        """Give the statistics of one incarnation, new if there are none."""
+        """Return the statistics of one incarnation, new if there are none."""
         found = self.stats.get(incarnation_id)
         if found is None:
             found = EndpointStats()
@@ -95,7 +95,7 @@
         tried: Collection[str],
         now: float,
     ) -> Choice | None:
-        """Give the best endpoint not yet tried, or None.
+        """Return the best endpoint not yet tried, or None.
 
         Of many endpoints only 2 are compared, and 2 of other zones if neither
         will be in time; all are compared if none of these is eligible and
@@ -138,7 +138,7 @@
         )
 
     def rate_limited_s(self, requirements: Requirements, now: float) -> float:
-        """Give the seconds until a limited or paused endpoint may get a call.
+        """Return the seconds until a limited or paused endpoint may get a call.
 
         It is 0 if no endpoint is limited or paused.
         """
@@ -277,7 +277,7 @@
     def _available_at(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> float:
-        """Give when an endpoint next takes a call, by what it reported."""
+        """Return when an endpoint next takes a call, by what it reported."""
         if self.notices.is_empty:
             return -math.inf
         rate_limited_until = self._rate_limits.available_at(
@@ -298,7 +298,7 @@
     def _is_within_warmup_rate(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> bool:
-        """Tell whether this entry may send one more call to a cold endpoint."""
+        """Return whether this entry may send a cold endpoint one more call."""
         per_s = service.cold_per_s
         if not per_s or not self._directory.is_cold(endpoint, now):
             return True
@@ -319,7 +319,7 @@
     def _min_version_on_arrival(
         self, requirements: Requirements, endpoint: Endpoint, now: float
     ) -> int:
-        """Give the oldest version that a call sent now reaches in time.
+        """Return the oldest version that a call sent now reaches in time.
 
         Over a link that is slower than usual a call must be sent earlier by the
         extra delay. For the usual delay the requirements name the version.
--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -56,7 +56,7 @@
 
 
 def incarnation_digest(incarnation_id: str) -> str:
-    """Give a digest of fixed length for an incarnation id of any length."""
+    """Return a digest of fixed length for an incarnation id of any length."""
     digest = hashlib.blake2b(
         incarnation_id.encode(), digest_size=_INCARNATION_BYTES
     )
@@ -103,12 +103,12 @@
         self._answered: dict[str, None] = {}
 
     def crash_count(self, fingerprint: str) -> int:
-        """Give how many incarnations crashed under calls like this."""
+        """Return how many incarnations crashed under calls like this."""
         suspect = self._suspects.get(fingerprint)
         return len(suspect.crashed_at) if suspect else 0
 
     def refused_for_s(self, fingerprint: str, now: float) -> float:
-        """Give the seconds for which a call is refused; 0 if it is allowed."""
+        """Return for how many seconds a call is refused; 0 if it is allowed."""
         suspect = self._suspects.get(fingerprint)
         if suspect is None or not suspect.is_refused:
             return 0
@@ -124,13 +124,13 @@
             suspect.trial_until = now + _TRIAL_S
 
     def may_retry(self, fingerprint: str) -> bool:
-        """Tell whether a call may be sent to a second endpoint."""
+        """Return whether a call may be sent to a second endpoint."""
         return self.crash_count(fingerprint) < REFUSE_AFTER_CRASHES
 
     def add(
         self, record: CrashRecord, at: float, *, shared: bool = False
     ) -> bool:
-        """Add a record; tell whether it is new."""
+        """Add a record; return whether it is new."""
         suspect = self._suspects.pop(record.fingerprint, None) or _Suspect(
             answered_before=record.fingerprint in self._answered,
         )
@@ -168,7 +168,7 @@
             self.add(record, at, shared=True)
 
     def note_answered(self, fingerprint: str) -> list[CrashRecord]:
-        """Clear calls of this fingerprint; give the records that were held."""
+        """Clear calls of this fingerprint; return the records it had."""
         self._answered.pop(fingerprint, None)
         self._answered[fingerprint] = None
         if len(self._answered) > _MAX_ANSWERED:
--- a/src/linnetwood/calls/crashsharing.py
+++ b/src/linnetwood/calls/crashsharing.py
@@ -53,7 +53,7 @@
 
     @property
     def max_records(self) -> int:
-        """Give the maximum number of records per write."""
+        """Return the maximum number of records per write."""
 
     async def write(
         self, added: Sequence[CrashRecord], removed: Sequence[CrashRecord]
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -47,7 +47,7 @@
         """Note that a call was answered and so crashes no endpoint."""
 
     def may_retry(self, fingerprint: str) -> bool:
-        """Tell whether a call may be sent to a second endpoint."""
+        """Return whether a call may be sent to a second endpoint."""
 
 
 class NoCrashWatch:
@@ -130,7 +130,7 @@
             self._reports.withdraw(record)
 
     def may_retry(self, fingerprint: str) -> bool:
-        """Tell whether a call may be sent to a second endpoint."""
+        """Return whether a call may be sent to a second endpoint."""
         return self._crashes.may_retry(fingerprint)
 
     async def _check(self, endpoint: Endpoint) -> None:
@@ -146,7 +146,7 @@
             self._checks.pop(endpoint.incarnation_id, None)
 
     async def _crash_evidence(self, endpoint: Endpoint) -> str:
-        """Give what shows that the endpoint crashed, or an empty text."""
+        """Return what shows that the endpoint crashed, or an empty text."""
         for pause_s in _PROBE_PAUSES_S:
             await asyncio.sleep(pause_s)
             if await self._is_refused(endpoint.host, endpoint.port):
--- a/src/linnetwood/calls/deadlineadmission.py
+++ b/src/linnetwood/calls/deadlineadmission.py
@@ -85,7 +85,7 @@
         return self._refusal(Code.OVERLOADED, call, detail)
 
     def _has_retry_capacity(self, service: Service, choice: Choice) -> bool:
-        """Tell whether a retrying caller may take a slot."""
+        """Return whether a retrying caller may take a slot."""
         if service.engine is None:
             return True
         stats = self._chooser.stats_of(choice.endpoint.incarnation_id)
@@ -93,7 +93,7 @@
         return self._retry_capacity(SlotUsage(used_slots, service.engine.slots))
 
     def _has_room_for_late(self, requirements: Requirements) -> bool:
-        """Tell whether a late call would displace no call that is in time.
+        """Return whether a late call would displace no call that is in time.
 
         A slot must stay free: late calls that fill the last slots would keep
         out first attempts that would be in time.
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -85,7 +85,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether the call may run more than once."""
+        """Return whether the call may run more than once."""
         return self.route.repeat is not Repeat.NEVER
 
 
@@ -336,7 +336,7 @@
     def _has_time_to_begin(
         self, choice: Choice, limits: AttemptLimits, now: float
     ) -> bool:
-        """Tell whether the call has time at the endpoint before its bound."""
+        """Return whether the call has time at the endpoint before its bound."""
         extra_delay_s = self._chooser.stats_of(
             choice.endpoint.incarnation_id
         ).extra_link_delay_s(now)
--- a/src/linnetwood/calls/directory.py
+++ b/src/linnetwood/calls/directory.py
@@ -47,7 +47,7 @@
 
     @property
     def incarnation_mark(self) -> int:
-        """Give a CRC-32 of the incarnation id, short enough for datagrams."""
+        """Return a CRC-32 of the incarnation id, short enough for datagrams."""
         return zlib.crc32(self.incarnation_id.encode())
 
 
@@ -86,11 +86,11 @@
         self._cold_until[incarnation_id] = until
 
     def cold_left_s(self, endpoint: Endpoint, now: float) -> float:
-        """Give how long an endpoint is still cold, as far as is known."""
+        """Return how long an endpoint is still cold, as far as is known."""
         return max(0, self._cold_until.get(endpoint.incarnation_id, now) - now)
 
     def is_cold(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether an endpoint is cold, or may be and has not reported."""
+        """Return whether an endpoint is known or assumed to be cold."""
         back_at = self._evacuation_ended_at.get(endpoint.zone, -math.inf)
         until = self._cold_until.get(endpoint.incarnation_id, -math.inf)
         return now < max(until, back_at + ASSUMED_COLD_S)
@@ -165,7 +165,7 @@
             self._remove(endpoint_id)
 
     def get(self, endpoint_id: str) -> Endpoint | None:
-        """Give the endpoint of an id."""
+        """Return the endpoint of an id."""
         return self._endpoints.get(endpoint_id)
 
     def all(self) -> Iterator[Endpoint]:
@@ -173,13 +173,13 @@
         yield from self._endpoints.values()
 
     def incarnation_ids(self) -> set[str]:
-        """Give the identifiers of all listed incarnations."""
+        """Return the identifiers of all listed incarnations."""
         return {
             endpoint.incarnation_id for endpoint in self._endpoints.values()
         }
 
     def at_host(self, host: str) -> Endpoint | None:
-        """Give the endpoint that was listed last at a host."""
+        """Return the endpoint that was listed last at a host."""
         return self._endpoints.get(self._by_host.get(host, ''))
 
     def of_service(self, service: str) -> Iterator[Endpoint]:
@@ -187,14 +187,14 @@
         yield from self._by_service.get(service, {}).values()
 
     def is_eligible(self, endpoint: Endpoint, now: float) -> bool:
-        """Tell whether an endpoint may get new calls."""
+        """Return whether an endpoint may get new calls."""
         ready = endpoint.ready and endpoint.zone not in self.evacuated
         return ready and now < self._removal_due_at.get(
             endpoint.endpoint_id, math.inf
         )
 
     def eligible(self, service: str, now: float) -> list[Endpoint]:
-        """Give the endpoints of a service that may get new calls."""
+        """Return the endpoints of a service that may get new calls."""
         endpoints = self.of_service(service)
         return [
             endpoint
--- a/src/linnetwood/calls/endpointstats.py
+++ b/src/linnetwood/calls/endpointstats.py
@@ -59,14 +59,14 @@
     quota: float = 0
 
     def is_overdue(self, now: float) -> bool:
-        """Tell whether the reports that were due are missing."""
+        """Return whether the reports that were due are missing."""
         return (
             now - self.received_at
             > _MAX_MISSED_REPORTS * self.interval_s + _OVERDUE_MARGIN_S
         )
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the report is recent enough to count."""
+        """Return whether the report is recent enough to count."""
         limit_s = max(
             _REPORT_FRESH_S, (_MAX_MISSED_REPORTS + 1) * self.interval_s
         )
@@ -162,35 +162,35 @@
         self.backoff_s = min(_BACKOFF_MAX_S, self.backoff_s * 2)
 
     def reported_notice(self, incarnation_mark: int, now: float) -> Notice:
-        """Give the notice of an incarnation in recent reports, if any."""
+        """Return the notice of an incarnation in recent reports, if any."""
         report = self._recent_notice_report(now)
         if report is None or report.notice_mark != incarnation_mark:
             return Notice()
         return report.notice or Notice()
 
     def quota(self, now: float) -> float:
-        """Give this entry's share of a rate limit; 0 if no report says."""
+        """Return this entry's share of a rate limit; 0 if no report says."""
         report = self._recent_notice_report(now)
         return 0 if report is None or self.is_overdue(now) else report.quota
 
     def is_overdue(self, now: float) -> bool:
-        """Tell whether an engine has stopped reporting."""
+        """Return whether an engine has stopped reporting."""
         report = self.report
         return report is not None and report.is_overdue(now)
 
     def reported_within(self, span_s: float, now: float) -> bool:
-        """Tell whether the last report came within a number of seconds."""
+        """Return whether the last report came within a number of seconds."""
         report = self.report
         return report is not None and now - report.received_at <= span_s
 
     def reporting(self, now: float) -> Reporting:
-        """Tell whether an engine reports, has stopped, or never did."""
+        """Return whether an engine reports, has stopped, or never did."""
         if self.report is None:
             return Reporting.NEVER
         return Reporting.STOPPED if self.is_overdue(now) else Reporting.FRESH
 
     def extra_link_delay_s(self, now: float) -> float:
-        """Give how much longer than usual the link delay may be."""
+        """Return how much longer than usual the link delay may be."""
         report = self.report
         if report is None:
             return 0
@@ -201,12 +201,12 @@
         return min(extra_s, _MAX_EXTRA_DELAY_S)
 
     def has_fresh_report(self, now: float) -> bool:
-        """Tell whether the last report is recent enough to count."""
+        """Return whether the last report is recent enough to count."""
         report = self.report
         return report is not None and report.is_fresh(now)
 
     def urgent_share(self) -> float:
-        """Give the share of waiting calls that run before late calls.
+        """Return the share of waiting calls that run before late calls.
 
         An engine reports only how many calls wait, so the share among this
         entry's own calls stands for all entries.
--- a/src/linnetwood/calls/engine.py
+++ b/src/linnetwood/calls/engine.py
@@ -40,7 +40,7 @@
     )
 
     def delay_s(self, from_zone: str, to_zone: str) -> float:
-        """Give the one-way delay between two availability zones."""
+        """Return the one-way delay between two availability zones."""
         if from_zone == to_zone:
             return 0
         delay_s = self.delays.get((from_zone, to_zone))
@@ -49,7 +49,7 @@
         return delay_s
 
     def prefill_s(self, prompt_tokens: int) -> float:
-        """Give the time to prefill a prompt alone."""
+        """Return the time to prefill a prompt alone."""
         token_pairs = prompt_tokens * prompt_tokens / 2
         return (
             prompt_tokens / self.prefill_tokens_per_s
@@ -57,7 +57,7 @@
         )
 
     def decode_step_s(self, running: int) -> float:
-        """Give the time of one decode step with this many calls running."""
+        """Return the time of one decode step with this many calls running."""
         context_tokens = running * (
             self.typical_prompt_tokens + self.typical_answer_tokens / 2
         )
@@ -68,7 +68,7 @@
         )
 
     def slot_interval_s(self) -> float:
-        """Give the time between two slots becoming free in a full engine."""
+        """Return the time between two slots becoming free in a full engine."""
         slots = self.slots
         decode_s = (
             self.typical_answer_tokens * self.decode_step_s(slots) / slots
--- a/src/linnetwood/calls/entrycount.py
+++ b/src/linnetwood/calls/entrycount.py
@@ -46,7 +46,7 @@
             )
 
     def update(self, now: float) -> bool:
-        """Recompute the number of entries; tell whether it has changed."""
+        """Recompute the number of entries; return whether it has changed."""
         self._counts = {
             host: count
             for host, count in self._counts.items()
--- a/src/linnetwood/calls/fairness.py
+++ b/src/linnetwood/calls/fairness.py
@@ -67,7 +67,7 @@
         self._last_number = 0
 
     def __len__(self) -> int:
-        """Give the number of waiting calls."""
+        """Return the number of waiting calls."""
         return self._length
 
     def submit(
@@ -121,7 +121,7 @@
             yield ticket, None
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Remove a ticket; tell whether it was still waiting."""
+        """Remove a ticket; return whether it was still waiting."""
         waiting = self._waiting.get(ticket.organisation, [])
         if ticket not in waiting:
             return False
@@ -173,7 +173,7 @@
         )
 
     def _may_pass(self, organisation: str) -> bool:
-        """Tell whether a call may pass those that wait."""
+        """Return whether a call may pass those that wait."""
         if not self._length:
             return True
         return self._is_within_share(organisation) and not self._waiting.get(
@@ -181,14 +181,14 @@
         )
 
     def _is_within_share(self, organisation: str) -> bool:
-        """Tell whether an organisation recently used at most its share."""
+        """Return whether an organisation recently used at most its share."""
         return (
             self._finish_tags.get(organisation, self._virtual_time)
             <= self._virtual_time
         )
 
     def _admissible_at(self, organisation: str) -> float:
-        """Give the time from which an organisation may take a free slot."""
+        """Return the time from which an organisation may take a free slot."""
         # Borrowing is paced only for other organisations that have shares.
         is_alone = len(self._shares) < 2
         if (
--- a/src/linnetwood/calls/fingerprint.py
+++ b/src/linnetwood/calls/fingerprint.py
@@ -14,7 +14,7 @@
     target: str,
     body: bytes,
 ) -> str:
-    """Give the hex digest shared by all identical calls of one caller.
+    """Return the hex digest shared by all identical calls of one caller.
 
     The content of a call can't be read from it. The caller is identified by
     its organisation, because API keys are replaced over time; all callers
--- a/src/linnetwood/calls/guard.py
+++ b/src/linnetwood/calls/guard.py
@@ -45,7 +45,7 @@
 
 
 def refusal(state: GuardState, start: Start) -> Ending | None:
-    """Give the ending that refuses a call, or None if it is accepted."""
+    """Return the ending that refuses a call, or None if it is accepted."""
     if state.leaving:
         return not_run(Code.LEAVING)
     if state.kind == 'engine':
@@ -130,11 +130,11 @@
         await self._send_ending(stream, start, ending)
 
     def load(self) -> int:
-        """Give the number of calls in flight."""
+        """Return the number of calls in flight."""
         return self.state.in_flight
 
     async def drained(self, limit_s: float) -> bool:
-        """Wait until no call is in flight; tell whether that came in time."""
+        """Wait until no call is in flight; return whether that came in time."""
         return await happened(self.idle, limit_s)
 
     async def _check_key_and_run(
--- a/src/linnetwood/calls/keys.py
+++ b/src/linnetwood/calls/keys.py
@@ -30,7 +30,7 @@
     nonce: str
 
     def text(self) -> str:
-        """Give the text form that callers see."""
+        """Return the text form that callers see."""
         return f'{self.vm}.{self.incarnation}.{self.epoch}.{self.nonce}'
 
 
@@ -91,7 +91,7 @@
         self._stored_answers: OrderedDict[str, StoredAnswer] = OrderedDict()
 
     def advance(self, now: float) -> bool:
-        """Begin a new epoch if one is due; tell whether one began."""
+        """Begin a new epoch if one is due; return whether one began."""
         if now - self._since < self._epoch_s:
             return False
         self._since = now
@@ -128,5 +128,5 @@
             self._stored_answers.popitem(last=False)
 
     def stored_answer(self, key: Key) -> StoredAnswer:
-        """Give the answer that is kept for a key."""
+        """Return the answer that is kept for a key."""
         return self._stored_answers[key.text()]
--- a/src/linnetwood/calls/limits.py
+++ b/src/linnetwood/calls/limits.py
@@ -50,7 +50,7 @@
 
 
 class RateLimits:
-    """Tell when this entry may send to an endpoint that names a rate limit."""
+    """Pace the calls that this entry sends to rate-limited endpoints."""
 
     __slots__ = ('_entry_count', '_notices', '_pacer')
 
@@ -66,7 +66,7 @@
         self._pacer = SendPacer(rng, _MAX_LATE_S)
 
     def available_at(self, target: RateLimitTarget, now: float) -> float:
-        """Give when a call may be sent to an endpoint; now without a limit."""
+        """Return when a call may be sent to an endpoint; now if unlimited."""
         incarnation_id = target.endpoint.incarnation_id
         limit_per_s = self._notices.latest(incarnation_id).limit_per_s
         if limit_per_s is None:
@@ -103,7 +103,7 @@
         return 1 / (max(limit_per_s, _MIN_CALLS_PER_S) * used_share * quota)
 
     def _quota(self, target: RateLimitTarget, now: float) -> float:
-        """Give this entry's share of an endpoint's limit."""
+        """Return this entry's share of an endpoint's limit."""
         equal_share = 1 / max(1, self._entry_count())
         if target.service.engine is None:
             return equal_share
--- a/src/linnetwood/calls/notices.py
+++ b/src/linnetwood/calls/notices.py
@@ -44,13 +44,13 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no endpoint has a notice, as is usual."""
+        """Return whether no endpoint has a notice, as is usual."""
         return not (self._notices or self._paused_until)
 
     def record(self, incarnation_id: str, notice: Notice, now: float) -> bool:
         """Store the notice of an answer that came at a time.
 
-        Tell whether it changes anything. Of a notice that is older than the
+        Return whether it changes anything. Of a notice that is older than the
         stored one only the leaving counts, because leaving is final.
         """
         received_at = self._received_at.get(incarnation_id, now)
@@ -66,11 +66,11 @@
         )
 
     def latest(self, incarnation_id: str) -> Notice:
-        """Give the latest notice of an incarnation."""
+        """Return the latest notice of an incarnation."""
         return self._notices.get(incarnation_id, _EMPTY)
 
     def available_at(self, incarnation_id: str) -> float:
-        """Give when an incarnation next takes calls; inf for never."""
+        """Return when an incarnation next takes calls; inf for never."""
         if self.latest(incarnation_id).leaving:
             return math.inf
         return self._paused_until.get(incarnation_id, -math.inf)
@@ -93,7 +93,7 @@
     def _record_pause(
         self, incarnation_id: str, notice: Notice, now: float
     ) -> bool:
-        """Store a requested pause; tell whether it begins now.
+        """Store a requested pause; return whether it begins now.
 
         A later answer that asks for a shorter pause doesn't shorten it, since
         it may answer a call that was sent before the pause.
--- a/src/linnetwood/calls/pacing.py
+++ b/src/linnetwood/calls/pacing.py
@@ -29,7 +29,7 @@
         self._borrowed_at = now
 
     def next_borrow_at(self, mean_s: float, slots: int, free: int) -> float:
-        """Give the time from which one of the free slots may be borrowed.
+        """Return the time from which one of the free slots may be borrowed.
 
         The more slots are free, the earlier, so that few of them stay idle.
         """
--- a/src/linnetwood/calls/policy/firstattempts.py
+++ b/src/linnetwood/calls/policy/firstattempts.py
@@ -42,10 +42,10 @@
 
 
 class FirstAttemptDetector(Protocol):
-    """Tell first attempts from retries by the time that a caller states."""
+    """Distinguish first attempts from retries by the time a caller states."""
 
     def is_first(self, traits: CallTraits, now: float) -> bool:
-        """Tell whether a call is a first attempt."""
+        """Return whether a call is a first attempt."""
 
     def refused(self, now: float) -> None:
         """Record that a caller was refused and will retry."""
@@ -90,13 +90,13 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Tell whether callers of a route were seen to state the same time."""
+        """Return whether the callers seen on a route state the same time."""
         if self._counted_calls < _MIN_COUNTED_CALLS:
             return False
         return self._counted_short <= _MAX_SHORT_SHARE * self._counted_calls
 
     def is_first(self, traits: CallTraits, now: float) -> bool:
-        """Tell whether a call is a first attempt."""
+        """Return whether a call is a first attempt."""
         if traits.wait_s is None:
             return True
         longest_s = self._longest_of(traits.route, traits.wait_s, now)
--- a/src/linnetwood/calls/policy/lateness.py
+++ b/src/linnetwood/calls/policy/lateness.py
@@ -29,7 +29,7 @@
         """Record how long a call waited, or has waited so far."""
 
     def margin_s(self, target_s: float, now: float) -> float:
-        """Give how long before the target calls must be predicted to begin."""
+        """Return how far before the target a predicted start must be."""
 
 
 class MeanLateness:
@@ -51,11 +51,11 @@
         self._updated_at = now
 
     def mean_lateness_s(self, target_s: float, now: float) -> float:
-        """Give how much later than predicted calls begin, within a bound."""
+        """Return how much later than predicted calls begin, within a bound."""
         return min(max(0, self._error_at(now)), _MAX_TARGET_SHARE * target_s)
 
     def margin_s(self, target_s: float, now: float) -> float:
-        """Give how long before the target calls must be predicted to begin."""
+        """Return how far before the target a predicted start must be."""
         return SPREAD_S + self.mean_lateness_s(target_s, now)
 
     def _error_at(self, now: float) -> float:
--- a/src/linnetwood/calls/policy/retrycapacity.py
+++ b/src/linnetwood/calls/policy/retrycapacity.py
@@ -26,7 +26,7 @@
 
 
 class RetryCapacity(Protocol):
-    """Tell whether retrying callers may take a slot."""
+    """Decide whether retrying callers may take a slot."""
 
     def __call__(self, usage: SlotUsage) -> bool:
         """Decide by the slots in use."""
--- a/src/linnetwood/calls/quarantine.py
+++ b/src/linnetwood/calls/quarantine.py
@@ -25,7 +25,7 @@
         self._clock = clock
 
     def __call__(self, call: DirectCall) -> Urgency | Ending:
-        """Give the urgency of the call, or the ending that refuses it."""
+        """Return the urgency of the call, or the ending that refuses it."""
         now = self._clock.now()
         wait_s = self._crashes.refused_for_s(call.fingerprint, now)
         if wait_s <= 0:
--- a/src/linnetwood/calls/regionscope.py
+++ b/src/linnetwood/calls/regionscope.py
@@ -15,7 +15,7 @@
     regions: frozenset[str] | None = None
 
     def allows(self, region: str) -> bool:
-        """Tell whether endpoints of a region may receive the call."""
+        """Return whether endpoints of a region may receive the call."""
         return self.regions is None or region in self.regions
 
 
@@ -23,7 +23,7 @@
 
 
 def intersect_regions(*bounds: Collection[str]) -> RegionScope:
-    """Give the regions that all bounds allow; an empty bound allows any."""
+    """Return the regions that all bounds allow; an empty bound allows any."""
     binding = [frozenset(bound) for bound in bounds if bound]
     if not binding:
         return ANY_REGION
--- a/src/linnetwood/calls/reportintake.py
+++ b/src/linnetwood/calls/reportintake.py
@@ -17,14 +17,14 @@
     born: int,
     report: Report,
 ) -> Endpoint | None:
-    """Apply a report from a host whose process was born at a Unix millisecond.
+    """Apply a report from a host whose process started at a Unix millisecond.
 
-    Give the endpoint if the report has a new notice of it, or None.
+    Return the endpoint if the report has a new notice of it, or None.
 
-    With an unknown birth, 0, the report is of the listed endpoint. A report of
-    an older incarnation is dropped. A report of a newer incarnation comes ahead
-    of the list: it may be of another endpoint that has the address now, so it
-    is not used, but the listed incarnation has ended.
+    With an unknown start time, 0, the report is of the listed endpoint. A
+    report of an older incarnation is dropped. A report of a newer incarnation
+    comes ahead of the list: it may be of another endpoint that has the address
+    now, so it is not used, but the listed incarnation has ended.
     """
     endpoint = directory.at_host(host)
     if endpoint is None:
--- a/src/linnetwood/calls/reports.py
+++ b/src/linnetwood/calls/reports.py
@@ -80,7 +80,7 @@
 
     @property
     def entry_count(self) -> int:
-        """Give the number of entries that share limits and budgets."""
+        """Return the number of entries that share limits and budgets."""
         return self._entry_count.entries
 
     async def start(self, host: str) -> None:
--- a/src/linnetwood/calls/reportsubscriptions.py
+++ b/src/linnetwood/calls/reportsubscriptions.py
@@ -69,14 +69,14 @@
         self._announced: _Announcement | None = None
 
     def is_same_zone(self, host: str) -> bool:
-        """Tell whether a host is an engine of this zone."""
+        """Return whether a host is an engine of this zone."""
         return any(
             subscription.places.get(host) == self._zone
             for subscription in self._by_service.values()
         )
 
     def has_changed(self, route_table: RouteTable) -> bool:
-        """Tell whether the announcement has changed since the last check.
+        """Return whether the announcement has changed since the last check.
 
         Most changes of the list are of load and warm-up, which subscriptions
         don't include.
--- a/src/linnetwood/calls/retries.py
+++ b/src/linnetwood/calls/retries.py
@@ -11,7 +11,7 @@
 
 
 def may_retry(ending: Ending, *, may_repeat: bool, begun: bool) -> bool:
-    """Tell whether a retry is safe after an attempt with this ending."""
+    """Return whether a retry is safe after an attempt with this ending."""
     if begun or ending.code in _FINAL_CODES:
         return False
     if ending.outcome == Outcome.NOT_RUN:
@@ -41,7 +41,7 @@
         self._tokens = min(self._reserve, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Take one retry from the budget; tell whether it had one."""
+        """Take one retry from the budget; return whether it had one."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/src/linnetwood/calls/routing.py
+++ b/src/linnetwood/calls/routing.py
@@ -36,14 +36,14 @@
     """Choose one of the candidates."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give one candidate; there is at least one."""
+        """Return one candidate; there is at least one."""
 
 
 class RandomPolicy:
     """Choose at random."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give any candidate."""
+        """Return any candidate."""
         return rng.choice(candidates)
 
 
@@ -55,7 +55,7 @@
         self._position = 0
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give the next candidate in the order of VM ids."""
+        """Return the next candidate in the order of VM ids."""
         self._position += 1
         ordered = sorted(candidates, key=lambda candidate: candidate.member.vm)
         return ordered[self._position % len(ordered)]
@@ -65,7 +65,7 @@
     """Choose the candidate with the least known load."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give a candidate with the lowest load, a random one of equals."""
+        """Return a candidate with the lowest load, a random one of equals."""
         lowest = min(candidate.load for candidate in candidates)
         return rng.choice(
             [candidate for candidate in candidates if candidate.load == lowest]
@@ -86,7 +86,7 @@
         self._fallback = TwoChoices()
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give the better of two fresh candidates."""
+        """Return the better of two fresh candidates."""
         fresh = [candidate for candidate in candidates if candidate.fresh]
         if len(fresh) < _MIN_FRESH:
             return self._fallback.choose(candidates, rng)
@@ -97,7 +97,7 @@
     """Choose the less loaded of 2 random candidates to avoid herding."""
 
     def choose(self, candidates: list[Candidate], rng: Random) -> Candidate:
-        """Give the less loaded of two candidates."""
+        """Return the less loaded of two candidates."""
         pair = rng.sample(candidates, min(2, len(candidates)))
         return min(pair, key=lambda candidate: candidate.load)
 
@@ -134,11 +134,11 @@
         self.sent_at_report = self.sent
 
     def is_fresh(self, now: float) -> bool:
-        """Tell whether the report is recent enough to be used."""
+        """Return whether the report is recent enough to be used."""
         return now - self.reported_at < FRESH_S
 
     def failed_recently(self, now: float) -> bool:
-        """Tell whether an attempt there was lost recently."""
+        """Return whether an attempt there was lost recently."""
         return now - self.failed_at < _FAILURE_RECENT_S
 
     def estimate(self, now: float) -> int:
@@ -201,11 +201,11 @@
         }
 
     def load(self, vm: str) -> Load:
-        """Give the load of an endpoint, new if there is none."""
+        """Return the load of an endpoint, new if there is none."""
         return self._loads.setdefault(vm, Load())
 
     def knows(self, query: EndpointQuery) -> bool:
-        """Tell whether the model is declared or the service has an endpoint."""
+        """Return whether a model is declared or a service has an endpoint."""
         if query.model:
             return query.model in self._declared_labels
         return any(
@@ -213,7 +213,7 @@
         )
 
     def slots(self, target: str) -> int:
-        """Give the total slots of the endpoints of a model or service."""
+        """Return the total slots of the endpoints of a model or service."""
         return sum(
             member.slots
             for member in self._members.values()
@@ -228,7 +228,7 @@
         tried: Collection[str],
         now: float,
     ) -> Member | None:
-        """Give the endpoint for a call, or None if there is none."""
+        """Return the endpoint for a call, or None if there is none."""
         eligible = self._candidates(query, tried)
         if not eligible:
             return None
@@ -239,7 +239,7 @@
         return self._policy.choose(candidates, self._rng).member
 
     def sample(self, query: EndpointQuery) -> Member | None:
-        """Give a random endpoint to probe for its load."""
+        """Return a random endpoint to probe for its load."""
         eligible = self._candidates(query, ())
         return self._rng.choice(eligible) if eligible else None
 
@@ -270,7 +270,7 @@
         return [member for member in eligible if member.serving in declared]
 
     def _has_room(self, member: Member, now: float) -> bool:
-        """Tell whether it is healthy and has free slots for this entry.
+        """Return whether it is healthy and has free slots for this entry.
 
         Entries that each keep to their share never overfill an endpoint
         together, however late they learn its load.
--- a/src/linnetwood/calls/sendpacer.py
+++ b/src/linnetwood/calls/sendpacer.py
@@ -30,7 +30,7 @@
     def next_send_at(
         self, incarnation_id: str, interval_s: float, now: float
     ) -> float:
-        """Give when the next call may be sent there."""
+        """Return when the next call may be sent there."""
         next_send_at = self._next_send_at.get(incarnation_id)
         if (
             next_send_at is None
--- a/src/linnetwood/calls/warmuplimiter.py
+++ b/src/linnetwood/calls/warmuplimiter.py
@@ -35,7 +35,7 @@
     def may_send(
         self, incarnation_id: str, calls_per_s: float, now: float
     ) -> bool:
-        """Tell whether a call may be sent to a cold endpoint now."""
+        """Return whether a call may be sent to a cold endpoint now."""
         return now >= self.next_send_at(
             incarnation_id, self._interval_s(calls_per_s), now
         )
--- a/src/linnetwood/fleet/configtask.py
+++ b/src/linnetwood/fleet/configtask.py
@@ -124,7 +124,7 @@
             self._spawn(self._fetch(source))
 
     def is_watcher(self) -> bool:
-        """Tell whether this process is one of those that poll the platform."""
+        """Return whether this process is one that polls the platform."""
         membership = self._gossip.membership
         chosen = choose_watchers(
             list(membership.view.members.values()),
--- a/src/linnetwood/fleet/configuration.py
+++ b/src/linnetwood/fleet/configuration.py
@@ -102,7 +102,7 @@
 def history_starts_after(
     configuration: Configuration, base_revision: int
 ) -> bool:
-    """Tell whether changes right after a revision were dropped."""
+    """Return whether changes right after a revision were dropped."""
     if not configuration.history:
         return False
     return configuration.history[0].revision > base_revision + 1
--- a/src/linnetwood/fleet/members.py
+++ b/src/linnetwood/fleet/members.py
@@ -32,7 +32,7 @@
 
 
 def supersedes(record: Member, other: Member) -> bool:
-    """Tell whether a record is newer than another of the same process."""
+    """Return whether a record is newer than another of the same process."""
     return precedence(record) > precedence(other)
 
 
@@ -56,5 +56,5 @@
 
 
 def accepts_work(member: Member) -> bool:
-    """Tell whether new work may be sent to the process."""
+    """Return whether new work may be sent to the process."""
     return member.status in {Health.ALIVE, Health.SUSPECT}
--- a/src/linnetwood/fleet/membership.py
+++ b/src/linnetwood/fleet/membership.py
@@ -47,7 +47,7 @@
         self.update(own_record)
 
     def update(self, member: Member) -> bool:
-        """Take in a record if it is newer than the one held; tell whether."""
+        """Store a record if it is newer; return whether it was stored."""
         held = self.members.get(member.vm)
         if held is not None and not supersedes(member, held):
             return False
@@ -68,7 +68,7 @@
             self.buckets[bucket_of(vm)] ^= record_hash(held)
 
     def same_zone(self) -> list[Member]:
-        """Return the other members of this availability zone, but the dead."""
+        """Return this availability zone's other members that aren't dead."""
         return [
             member
             for member in self.members.values()
@@ -78,7 +78,7 @@
         ]
 
     def other_zones(self) -> list[Member]:
-        """Return the members of other availability zones, but the dead."""
+        """Return the members of other availability zones that aren't dead."""
         return [
             member
             for member in self.members.values()
--- a/src/linnetwood/fleet/placement.py
+++ b/src/linnetwood/fleet/placement.py
@@ -107,7 +107,7 @@
     intent: Intent,
     members: Iterable[Member],
 ) -> bool:
-    """Tell whether this VM may take its engine out of service to load now.
+    """Return whether this VM may take its engine out of service to load now.
 
     Of the VMs that serve the model, only as many as the intent has spare
     replicas may load at a time; the lowest hashes are first.
--- a/src/linnetwood/fleet/vmlist.py
+++ b/src/linnetwood/fleet/vmlist.py
@@ -109,7 +109,7 @@
 
 
 class IsWatcher(Protocol):
-    """Tell whether this process is one of those that poll the platform."""
+    """Determine whether this process is one that polls the platform."""
 
     def __call__(self) -> bool:
         """Return true while it is."""
--- a/src/linnetwood/fleet/wanted.py
+++ b/src/linnetwood/fleet/wanted.py
@@ -51,7 +51,7 @@
         *,
         guessed: bool = False,
     ) -> bool:
-        """Take in a named version; tell whether it is the newest.
+        """Take in a named version; return whether it is the newest.
 
         A process that starts after a version was named can only guess when
         that was. A time that a process saw replaces a guess; of several seen
--- a/src/linnetwood/platform/records.py
+++ b/src/linnetwood/platform/records.py
@@ -29,7 +29,8 @@
 # The key names the zone; what stands under it tells nothing more.
 EVACUATE_PREFIX = 'op/evacuate/'
 ENDPOINT_PREFIX = 'servers/'
-# What entries write themselves: a likeness and a life, both in hex.
+# What entries write themselves: a call fingerprint and an incarnation digest,
+# both in hex.
 CRASH_PREFIX = 'ends/'
 
 _MILLISECONDS = 1000
@@ -73,7 +74,7 @@
         versions={
             one['name']: one['version'] for one in said.get('models', ())
         },
-        # One that does not tell it is sound, and its life is unknown.
+        # A record without it is valid, but its incarnation is unknown.
         born=said.get('born', 0),
     )
 
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -230,10 +230,10 @@
             lambda calls: calls.apply(rig.deployment(1), 1, 'op-2', 'asha'),
         )
         self.assertEqual(answer.code, 'store-unavailable')
-        newcomer = await rig.entry()
-        await rig.until(lambda: newcomer.runtime.config.current.revision == 1)
+        new_entry = await rig.entry()
+        await rig.until(lambda: new_entry.runtime.config.current.revision == 1)
         await rig.until(lambda: rig.serving() == 1)
-        self.assertEqual(newcomer.reason(), '')
+        self.assertEqual(new_entry.reason(), '')
         reply = await rig.http(GENERATE, body('hello', 5), number=1)
         self.assertEqual(reply.body.decode(), expected('hello', 5))
 
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -36,7 +36,7 @@
 ENTRIES = 6
 CALLS = 40
 SPAN_S = 4.0
-DESK = Service('desk', 10)
+PLAIN_SERVICE = Service('desk', 10)
 ROUTE = dataclasses.replace(
     test_narrow_way.ROUTE,
     repeat=Repeat.MAY,
@@ -101,7 +101,7 @@
         return DirectCall(
             CallHead(call_id='c-1'),
             ROUTE,
-            DESK,
+            PLAIN_SERVICE,
             None,
             'POST',
             '/x',
@@ -210,7 +210,7 @@
         self.limit = limit
         self.known_entries = entries
         self.has_process = has_process
-        self.service = POOL if has_process else DESK
+        self.service = POOL if has_process else PLAIN_SERVICE
         self.places = {
             f'e{number}': f'z{number % zones}' for number in range(engines)
         }
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,7 +1,7 @@
 """A suspended VM: its steady clock stands still, the world goes on.
 
-After it every age was too young by the suspension's length: an old belief was
-taken for fresh, and a pause of any length went unnoticed.
+After it every age was too young by the suspension's length: a stale
+configuration counted as fresh, and a pause of any length went unnoticed.
 """
 
 import asyncio
@@ -109,7 +109,7 @@
         self.clock = VirtualClock(self.loop)
 
     def test_a_configuration(self) -> None:
-        """What was not confirmed since is an old belief."""
+        """A configuration that was not confirmed since is stale."""
         tracker = ConfigAgeTracker(self.clock, float, 1.8)
         self.assertFalse(tracker.basis().is_stale)
         self.loop.suspend(SUSPENDED_S)
