--- a/src/linnetwood/calls/admission.py
+++ b/src/linnetwood/calls/admission.py
@@ -36,7 +36,7 @@
         self, limits: QueueLimits, capacity: Capacity, clock: Clock
     ) -> None:
         """Start without queues and shares."""
-        self.under_way = 0
+        self.in_flight = 0
         self._limits = limits
         self._capacity = capacity
         self._clock = clock
@@ -67,12 +67,12 @@
         if isinstance(decision, Ticket):
             decision = await self._wait_for_slot(queue, decision)
         if decision is None:
-            self.under_way += 1
+            self.in_flight += 1
         return decision
 
     def leave(self, request: AdmissionRequest, took_s: float) -> None:
         """Release the slot and admit the next waiting calls."""
-        self.under_way -= 1
+        self.in_flight -= 1
         queue = self._queue(request.target)
         queue.release(took_s)
         self._admit_waiting(queue)
@@ -116,7 +116,7 @@
             return self._give_up(queue, ticket, waiter)
         except asyncio.CancelledError:
             if self._give_up(queue, ticket, waiter) is None:
-                queue.under_way -= 1
+                queue.in_flight -= 1
                 self._admit_waiting(queue)
             raise
 
--- a/src/linnetwood/calls/candidates.py
+++ b/src/linnetwood/calls/candidates.py
@@ -51,11 +51,11 @@
     # these knows all entries of the zone and can tell them of each other.
     key = entry_host if same_zone else zone
     selected = _ranked(key, same_zone)[:MAX_SAME_ZONE]
-    stands_for = {host: len(same_zone) / len(selected) for host in selected}
-    stands_for.update(
+    represents = {host: len(same_zone) / len(selected) for host in selected}
+    represents.update(
         _select_other_zones(key, by_zone, _max_other_zones(len(selected)))
     )
-    return stands_for
+    return represents
 
 
 def _max_other_zones(same_zone: int) -> int:
@@ -77,12 +77,12 @@
         selected.setdefault(picked_zone, []).append(picked_host)
     # With more zones than selections, each zone is selected by some entries.
     zones_per_selected = len(by_zone) / max(1, len(selected))
-    stands_for = {
+    represents = {
         zone: zones_per_selected * len(by_zone[zone]) / len(hosts)
         for zone, hosts in selected.items()
     }
     return {
-        host: stands_for[zone]
+        host: represents[zone]
         for zone, hosts in selected.items()
         for host in hosts
     }
--- a/src/linnetwood/calls/choice.py
+++ b/src/linnetwood/calls/choice.py
@@ -175,9 +175,9 @@
     def forget_unlisted(self, now: float) -> None:
         """Drop the statistics of endpoints that are no longer listed.
 
-        The list drops an endpoint that is out of touch and names it again
-        later. Its statistics are kept until its last report is 10 s old, so
-        that it doesn't count as a new endpoint.
+        The list drops an isolated endpoint and names it again later. Its
+        statistics are kept until its last report is 10 s old, so that it
+        doesn't count as a new endpoint.
         """
         listed_ids = self._directory.incarnation_ids()
         self._warmup_limiter.forget_unlisted(listed_ids)
@@ -277,7 +277,7 @@
     def _available_at(
         self, service: Service, endpoint: Endpoint, now: float
     ) -> float:
-        """Return when an endpoint next takes a call, by what it reported."""
+        """Return when an endpoint next takes a call, by its latest notice."""
         if self.notices.is_empty:
             return -math.inf
         rate_limited_until = self._rate_limits.available_at(
@@ -319,7 +319,7 @@
     def _min_version_on_arrival(
         self, requirements: Requirements, endpoint: Endpoint, now: float
     ) -> int:
-        """Return the oldest version that a call sent now reaches in time.
+        """Return the oldest version allowed when a call sent now arrives.
 
         Over a link that is slower than usual a call must be sent earlier by the
         extra delay. For the usual delay the requirements name the version.
--- a/src/linnetwood/calls/crashes.py
+++ b/src/linnetwood/calls/crashes.py
@@ -103,7 +103,7 @@
         self._answered: dict[str, None] = {}
 
     def crash_count(self, fingerprint: str) -> int:
-        """Return how many incarnations crashed under calls like this."""
+        """Return how many incarnations crashed under such calls."""
         suspect = self._suspects.get(fingerprint)
         return len(suspect.crashed_at) if suspect else 0
 
--- a/src/linnetwood/calls/crashwatch.py
+++ b/src/linnetwood/calls/crashwatch.py
@@ -121,7 +121,7 @@
             self._checks[endpoint.incarnation_id] = task
 
     def note_answered(self, fingerprint: str) -> None:
-        """Clear calls like this one, here and for all entries."""
+        """Clear calls of this fingerprint, here and for all entries."""
         records = self._crashes.note_answered(fingerprint)
         if not records:
             return
--- a/src/linnetwood/calls/direct.py
+++ b/src/linnetwood/calls/direct.py
@@ -117,7 +117,7 @@
         """Start without any retry budget."""
         self.retry_limits = RetryLimits()
         self.crash_observer: CrashObserver = NoCrashWatch()
-        # Called when an endpoint has just reported something in an answer.
+        # Called when the head of an answer had a notice of its endpoint.
         self.on_notice: Callable[[Endpoint, float], None] = _ignore_notice
         self._budgets: dict[str, RetryBudget] = {}
         self._new_lateness = lateness
@@ -516,7 +516,7 @@
         """End a call for which no endpoint is available.
 
         `rate_limited_s` is the time in seconds until a rate limit or a
-        requested rest of an endpoint is over, 0 if neither is the reason.
+        requested pause of an endpoint is over, 0 if neither is the reason.
         """
         ending = self.ending(answer, Code.NO_ENDPOINT)
         if ending.outcome is not Outcome.NOT_RUN or not rate_limited_s:
--- a/src/linnetwood/calls/directory.py
+++ b/src/linnetwood/calls/directory.py
@@ -150,7 +150,7 @@
         self._outage_at = now
 
     def expire(self, now: float) -> None:
-        """Remove endpoints that were held back long enough, and past marks."""
+        """Remove endpoints whose removal is due, and cold times that passed."""
         self._cold_until = {
             incarnation_id: until
             for incarnation_id, until in self._cold_until.items()
--- a/src/linnetwood/calls/fairness.py
+++ b/src/linnetwood/calls/fairness.py
@@ -2,9 +2,9 @@
 
 Start-time fair queueing (Goyal, Vin and Cheng, 1996) over organisations by
 their shares. Within an organisation the higher priority goes first, then the
-earlier deadline. Capacity that no other organisation wants goes to those that
-wait. An organisation may use unused parts of its share later, up to a few
-calls, because calls arrive at random and not at the rate of the share.
+earlier deadline. Capacity that other organisations leave unused goes to those
+with waiting calls. An organisation may use unused parts of its share later, up
+to a few calls, because calls arrive at random and not at the rate of the share.
 """
 
 import dataclasses
@@ -52,7 +52,7 @@
         pacer: BorrowPacer | None = None,
     ) -> None:
         """Start empty, with capacity for one call; pace borrowing if given."""
-        self.under_way = 0
+        self.in_flight = 0
         self.capacity = 1
         # When to call pop_admitted again: a free slot may be borrowed then.
         self.resume_at: float | None = None
@@ -78,12 +78,12 @@
         now: float,
     ) -> Ticket | Ending | None:
         """Admit a call at once (None), queue it (a ticket) or refuse it."""
-        if self.under_way < self.capacity and self._may_pass(organisation):
+        if self.in_flight < self.capacity and self._may_pass(organisation):
             if self._length:
                 self._charge(organisation)
             else:
                 self._admit_uncharged(organisation)
-            self.under_way += 1
+            self.in_flight += 1
             return None
         refusal = self._refusal(organisation, deadline, now)
         if refusal is not None:
@@ -98,7 +98,7 @@
 
     def release(self, took_s: float) -> None:
         """Release the slot of a call that ended and note its duration."""
-        self.under_way -= 1
+        self.in_flight -= 1
         self._mean_s += _NEW_DURATION_WEIGHT * (took_s - self._mean_s)
 
     def pop_admitted(
@@ -106,7 +106,7 @@
     ) -> Iterator[tuple[Ticket, Ending | None]]:
         """Yield the calls to admit now, and those to refuse as too late."""
         self.resume_at = None
-        while self._length and self.under_way < self.capacity:
+        while self._length and self.in_flight < self.capacity:
             organisation = self._next_organisation()
             admissible_at = self._admissible_at(organisation)
             if now < admissible_at:
@@ -197,14 +197,14 @@
             or self._is_within_share(organisation)
         ):
             return -math.inf
-        free = self.capacity - self.under_way
+        free = self.capacity - self.in_flight
         return self._pacer.next_borrow_at(self._mean_s, self.capacity, free)
 
     def _admit(self, organisation: str, now: float) -> None:
         if self._pacer is not None and not self._is_within_share(organisation):
             self._pacer.note_borrowed(now)
         self._charge(organisation)
-        self.under_way += 1
+        self.in_flight += 1
 
     def _start_tag(self, organisation: str) -> float:
         # An organisation without earlier calls has no unused share.
--- a/src/linnetwood/calls/limits.py
+++ b/src/linnetwood/calls/limits.py
@@ -6,7 +6,8 @@
 So each entry has a quota, a share of the limit, and paces its calls by it:
 
 - The endpoint process beside an engine assigns quotas to the entries that are
-  subscribed to its reports, which send most of its calls, and leaves a rest.
+  subscribed to its reports, which send most of its calls, and leaves a part
+  of the limit unassigned.
 - All other entries, and all entries of an endpoint without such a process, use
   equal quotas by the number of entries.
 
--- a/src/linnetwood/calls/notices.py
+++ b/src/linnetwood/calls/notices.py
@@ -22,7 +22,7 @@
     limit_per_s: float | None = None
     # It takes no new calls any more.
     leaving: bool = False
-    # Seconds in which it wants no calls from the entry that it has refused.
+    # The pause in seconds that it requests from the entry that it refused.
     retry_after_s: float = 0
     # The text that could not be parsed, truncated.
     unreadable: str = ''
--- a/src/linnetwood/calls/reportsubscriptions.py
+++ b/src/linnetwood/calls/reportsubscriptions.py
@@ -1,4 +1,4 @@
-"""Subscribe to the reports of engines, and send what this entry wants."""
+"""Subscribe to the reports of engines, and send them wanted versions."""
 
 import dataclasses
 import itertools
@@ -11,7 +11,7 @@
 from linnetwood.calls.routetable import Origin, RouteTable
 from linnetwood.fleet.news import Address, NewsSocket
 from linnetwood.fleet.peerlist import PeerListServer, ZonesByHost
-from linnetwood.fleet.reportsubscribers import report_every_s
+from linnetwood.fleet.reportsubscribers import report_interval_s
 from linnetwood.fleet.wanted import WantedVersions
 from linnetwood.gen.wire.ttypes import EntryNews, News
 
@@ -26,7 +26,7 @@
     places: ZonesByHost
     digest: int
     revision: int
-    stands_for: Mapping[str, float]
+    represents: Mapping[str, float]
     # With this interval all received reports stay within their bound.
     report_interval_s: float
 
@@ -122,12 +122,12 @@
             is not None
         }
         if self._by_service != previous:
-            stands_for = [
-                subscription.stands_for
+            represents = [
+                subscription.represents
                 for subscription in self._by_service.values()
             ]
             self._candidates.prefer_hosts(
-                itertools.chain.from_iterable(stands_for)
+                itertools.chain.from_iterable(represents)
             )
 
     def _subscribed_of(
@@ -146,13 +146,15 @@
 
     def _select(self, places: ZonesByHost) -> _ServiceSubscription:
         revision = self.revision()
-        stands_for = select_hosts(self._entry_host, self._zone, places)
+        represents = select_hosts(self._entry_host, self._zone, places)
         return _ServiceSubscription(
             places,
             self.peers.update(places, revision),
             revision,
-            stands_for,
-            report_every_s([places[host] for host in stands_for], self._zone),
+            represents,
+            report_interval_s(
+                [places[host] for host in represents], self._zone
+            ),
         )
 
     def _message(
@@ -184,8 +186,8 @@
         message.every_ms = int(subscription.report_interval_s * _MILLISECONDS)
         # Hosts with the same share get the same encoded message.
         hosts_by_share: dict[int, list[Address]] = defaultdict(list)
-        for host, stands_for in subscription.stands_for.items():
-            hosts_by_share[round(stands_for * _PERCENT)].append((host, port))
+        for host, represents in subscription.represents.items():
+            hosts_by_share[round(represents * _PERCENT)].append((host, port))
         for stands_for_pct, addresses in hosts_by_share.items():
             message.stands_for_pct = stands_for_pct
             news.send(News(entry=message), addresses)
--- a/src/linnetwood/fleet/cooldown.py
+++ b/src/linnetwood/fleet/cooldown.py
@@ -37,7 +37,7 @@
         )
 
     def note_success(self, host: str) -> None:
-        """Forget the failures of a host; a cooldown that runs goes on."""
+        """Forget the failures of a host; a running cooldown continues."""
         self._failures.pop(host, None)
 
     def forget(self, host: str) -> None:
--- a/src/linnetwood/fleet/freshness.py
+++ b/src/linnetwood/fleet/freshness.py
@@ -17,9 +17,9 @@
 # costs money and each change is relayed to every subscriber. A twentieth of
 # the bound is 0.1 to 0.2 s.
 _BATCH_DELAY_SHARE = 0.05
-# Where all relays of a zone are out of touch, its entries send their requests
-# one after the other. The last one's view is then 0.55 of the bound old, 0.8 if
-# a relay was receiving an answer meanwhile; its own answer has the rest.
+# Where all relays of a zone fail, its entries send their requests one after the
+# other. The last one's view is then 0.55 of the bound old, 0.8 if a relay was
+# receiving an answer meanwhile; its own answer has the rest.
 _MAX_STAGGER_SHARE = 0.15
 # A wait whose answer is overdue by this share gets a second request beside it.
 # Answers on full links are late by less.
@@ -60,8 +60,9 @@
     answer. After a change, batch_delay_s passes before the next call, so that
     further changes come with it. max_stagger_s limits the wait for entries that
     send their requests first. A request whose answer is overdue by
-    hedge_delay_s is sent once more. That happens sooner, but not before
-    min_hedge_delay_s, where the view would be older than hedge_by_age_s then.
+    hedge_delay_s is sent once more. If the view would be older than
+    hedge_by_age_s by then, it is sent earlier, but only when the answer is
+    overdue by min_hedge_delay_s.
     """
 
     wait_s: float = 2
--- a/src/linnetwood/fleet/gossip.py
+++ b/src/linnetwood/fleet/gossip.py
@@ -52,7 +52,7 @@
     """Receive what gossip learns; each method does nothing by default."""
 
     def member_changed(self, member: Member) -> None:
-        """Take in a newer record of a member."""
+        """Apply a newer record of a member."""
 
     def revision_seen(self, revision: int, source: Address) -> None:
         """Note that the process at an address holds a revision."""
@@ -158,7 +158,7 @@
         self.disseminate(self.membership.update_self(**changes))
 
     def receive_record(self, member: Member) -> None:
-        """Take in a record; disseminate it and call listeners if it is new."""
+        """Apply a record; disseminate it and call listeners if it is new."""
         record = self.membership.receive(member, self._clock.now())
         if record is None:
             return
@@ -202,7 +202,7 @@
     def unreachable_zones(self, older_than_s: float) -> list[str]:
         """Return the other availability zones silent for that many seconds.
 
-        A zone counts as heard from when it is first asked about.
+        The silence of a zone counts from the first query about it, or later.
         """
         own_zone = self.membership.own_record.availability_zone
         now = self._clock.now()
--- a/src/linnetwood/fleet/hedging.py
+++ b/src/linnetwood/fleet/hedging.py
@@ -1,8 +1,8 @@
 """Send a second request beside one that gets no answer; no clock of its own.
 
 A connection may stay silent for good while new ones work, and an answer that is
-late on a full link still arrives. The first request therefore goes on, and its
-answer is used if it arrives first.
+late on a full link still arrives. The first request therefore continues, and
+its answer is used if it arrives first.
 """
 
 import asyncio
--- a/src/linnetwood/fleet/latestnotice.py
+++ b/src/linnetwood/fleet/latestnotice.py
@@ -43,16 +43,16 @@
         self._notice = notice
         self._received_at = now
 
-    def for_report(self, now: float, every_s: float) -> EngineSaid | None:
+    def for_report(self, now: float, interval_s: float) -> EngineSaid | None:
         """Return the notice for reports of now, or None.
 
-        every_s is the interval of reports in seconds.
+        interval_s is the interval of reports in seconds.
         """
         if self._notice is None:
             return None
         unchanged_s = now - self._changed_at
         is_repeat_due = (
-            unchanged_s % _REPEAT_EVERY_S < _REPORTS_PER_ROUND * every_s
+            unchanged_s % _REPEAT_EVERY_S < _REPORTS_PER_ROUND * interval_s
         )
         if unchanged_s > _NEW_FOR_S and not is_repeat_due:
             return None
--- a/src/linnetwood/fleet/membership.py
+++ b/src/linnetwood/fleet/membership.py
@@ -137,7 +137,7 @@
         return self.view.own_record
 
     def receive(self, member: Member, now: float) -> Member | None:
-        """Take in a record; return the one to disseminate, if any."""
+        """Apply a record; return the one to disseminate, if any."""
         if member.vm == self.own_record.vm:
             return self._refute(member)
         if not self.view.update(member):
@@ -150,13 +150,13 @@
         return member
 
     def heartbeat_received(self, vm: str, now: float) -> None:
-        """Note that a VM was heard from."""
+        """Note that a heartbeat of a VM arrived."""
         is_watched = vm in self._heard_at
         if is_watched:
             self._heard_at[vm] = now
 
     def ring_neighbours(self, now: float) -> RingNeighbours:
-        """Return whom to send heartbeats to and whom to watch."""
+        """Return the VMs to send heartbeats to and those to watch."""
         if self._neighbours_stale:
             self._neighbours = self._find_ring_neighbours()
             self._neighbours_stale = False
--- a/src/linnetwood/fleet/rangefollower.py
+++ b/src/linnetwood/fleet/rangefollower.py
@@ -122,7 +122,7 @@
 
     @property
     def is_isolated(self) -> bool:
-        """Return whether neither the store nor a relay was heard lately."""
+        """Return whether neither store nor relay confirmed the view lately."""
         return self.is_store_silent and self._is_old(self.confirmed_at)
 
     def note_bytes(self) -> None:
--- a/src/linnetwood/fleet/relayselector.py
+++ b/src/linnetwood/fleet/relayselector.py
@@ -7,7 +7,7 @@
 from linnetwood.fleet.remotezoneselector import RemoteZoneSelector, relay_rank
 
 # The number of entries of an availability zone that request the store for all:
-# one, and another that takes over where the first is gone or out of touch.
+# one, and another that takes over if the first is gone or isolated.
 RELAYS_PER_ZONE = 2
 # Endpoint processes name the zone's entries once a second.
 _EXPIRES_AFTER_S = 3.0
--- a/src/linnetwood/fleet/reportsubscribers.py
+++ b/src/linnetwood/fleet/reportsubscribers.py
@@ -12,7 +12,7 @@
 _REPORTS_PER_S = 80
 # The interval in small fleets. It is not shorter because each report costs a
 # request to the VM's engine.
-_MIN_EVERY_S = 0.1
+_MIN_INTERVAL_S = 0.1
 # Entries of other zones get every second report only: they send calls here
 # only as a second choice.
 _OTHER_ZONE_STRIDE = 2
@@ -36,18 +36,18 @@
 # what their subscriptions represent, and this count may be slightly off.
 _ALL_SUBSCRIBED_SHARE = 0.95
 # Subscriptions are renewed once a second. In a longer silence of all entries a
-# version may have been named without this endpoint being told.
+# version may have been named without this endpoint receiving it.
 _GAP_S = 1.5
 
 
-def report_every_s(zones: Sequence[str], own: str) -> float:
+def report_interval_s(zones: Sequence[str], own: str) -> float:
     """Return the interval of reports within the own zone, in seconds.
 
     The zones are those of all processes that take part.
     """
     near = zones.count(own)
     reports = near + (len(zones) - near) / _OTHER_ZONE_STRIDE
-    return max(_MIN_EVERY_S, reports / _REPORTS_PER_S)
+    return max(_MIN_INTERVAL_S, reports / _REPORTS_PER_S)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -55,14 +55,14 @@
     """What an entry sends to subscribe or to renew.
 
     The number grows with each datagram and starts anew with the entry's
-    process. Reports are to come every `every_s` seconds or less often. Where
+    process. Reports are to come every `interval_s` seconds or less often. Where
     each entry subscribes to some endpoints only, one represents several
     entries: `represents` says how many.
     """
 
     number: int
     zone: str = ''
-    every_s: float = 0
+    interval_s: float = 0
     represents: float = 1
 
 
@@ -167,20 +167,20 @@
             sharing = inside if near else sharing - inside
         return share / sharing
 
-    def own_zone_every_s(self, own_zone: str) -> float:
+    def own_zone_interval_s(self, own_zone: str) -> float:
         """Return the interval of reports to entries of the own zone, in s."""
         zones = [
             subscriber.subscription.zone
             for subscriber in self._subscribers.values()
         ]
-        return report_every_s(zones, own_zone)
+        return report_interval_s(zones, own_zone)
 
     def take_due(self, zone: str, now: float) -> dict[float, list[Address]]:
         """Return the addresses to report to now, by their interval in seconds.
 
         The next report to each of them is scheduled one interval later.
         """
-        near_s = self.own_zone_every_s(zone)
+        near_s = self.own_zone_interval_s(zone)
         due: dict[float, list[Address]] = defaultdict(list)
         for address, subscriber in self._subscribers.items():
             if subscriber.report_due_at > now + _DUE_EARLY_S:
@@ -190,12 +190,14 @@
                 if subscriber.subscription.zone == zone
                 else _OTHER_ZONE_STRIDE
             )
-            every_s = stride * max(near_s, subscriber.subscription.every_s)
+            interval_s = stride * max(
+                near_s, subscriber.subscription.interval_s
+            )
             # Reports missed by late ticks are not sent all at once.
             subscriber.report_due_at = (
-                max(subscriber.report_due_at, now - every_s) + every_s
+                max(subscriber.report_due_at, now - interval_s) + interval_s
             )
-            due[every_s].append(address)
+            due[interval_s].append(address)
         return due
 
     def new_subscribers(self, now: float) -> list[Address]:
--- a/src/linnetwood/fleet/wanted.py
+++ b/src/linnetwood/fleet/wanted.py
@@ -51,7 +51,7 @@
         *,
         guessed: bool = False,
     ) -> bool:
-        """Take in a named version; return whether it is the newest.
+        """Add a named version; return whether it is the newest.
 
         A process that starts after a version was named can only guess when
         that was. A time that a process saw replaces a guess; of several seen
@@ -71,7 +71,7 @@
         return is_newest
 
     def add_serving(self, found: Iterable[tuple[str, int]]) -> None:
-        """Take in pairs of model and version that engines serve."""
+        """Add pairs of model and version that engines serve."""
         for model, version in found:
             if version > self._serving.get(model, 0):
                 self._serving[model] = version
@@ -143,7 +143,7 @@
         )
 
     def start_deadline(self, model: str, version: int) -> float:
-        """Return until when a call may start on a version; inf for ever."""
+        """Return until when a call may start on a version; inf if unlimited."""
         named = self._named.get(model, {})
         newer_named_at = [
             named_at for other, named_at in named.items() if other > version
@@ -190,11 +190,11 @@
         *,
         steady: bool = False,
     ) -> None:
-        """Take in what another process sent.
+        """Apply the versions that another process sent.
 
-        A steady process has been sent versions by entries without a gap. If it
-        learns of a version first by a guess, no process can have seen that
-        version named long before, and so it takes a recent time instead.
+        A steady process has received versions from entries without a gap. If
+        the first time that it receives for a version is a guess, no process
+        saw that version named long before, so a recent time is used instead.
         """
         for message in messages:
             if message.age_ms < 0:
--- a/src/linnetwood/programs/entry.py
+++ b/src/linnetwood/programs/entry.py
@@ -138,9 +138,9 @@
 
     async def _drained(self) -> None:
         until = self.runtime.clock.now() + self._cfg.drain_limit_s
-        while self.gate.under_way:
+        while self.gate.in_flight:
             if self.runtime.clock.now() > until:
-                log(Event.STOP_LIMIT_REACHED, in_flight=self.gate.under_way)
+                log(Event.STOP_LIMIT_REACHED, in_flight=self.gate.in_flight)
                 return
             await asyncio.sleep(_DRAIN_CHECK_S)
 
--- a/src/linnetwood/programs/resident_talk.py
+++ b/src/linnetwood/programs/resident_talk.py
@@ -95,7 +95,7 @@
     @property
     def every_s(self) -> float:
         """Give the pace at which entries are told, in seconds."""
-        return self._listeners.own_zone_every_s(self._cfg.zone)
+        return self._listeners.own_zone_interval_s(self._cfg.zone)
 
     def handle_news(self, news: News, source: Address) -> None:
         """Take in what entries and peers tell."""
--- a/tests/test_candidates.py
+++ b/tests/test_candidates.py
@@ -78,7 +78,7 @@
                 ]
                 counts = [
                     sum(
-                        stands_for.get(host, 0) for stands_for in found.values()
+                        represents.get(host, 0) for represents in found.values()
                     )
                     for host in hosts
                 ]
--- a/tests/test_fairness.py
+++ b/tests/test_fairness.py
@@ -167,7 +167,7 @@
     def round(self) -> list[int]:
         """End all calls; give how many are admitted each time until none is."""
         self.now += MEAN_S
-        admitted = [len(self.free(self.queue.under_way))]
+        admitted = [len(self.free(self.queue.in_flight))]
         while self.queue.resume_at is not None:
             self.now = self.queue.resume_at
             admitted.append(len(self.admitted()))
--- a/tests/test_rate_limits.py
+++ b/tests/test_rate_limits.py
@@ -168,7 +168,7 @@
         self.zone = zone
         self.fleet = fleet
         subscribed = select_hosts(host, zone, fleet.places)
-        self.stands_for = subscribed.get('e0', 0) if fleet.has_process else 0
+        self.represents = subscribed.get('e0', 0) if fleet.has_process else 0
         self.is_reachable = True
         self.start(host)
 
@@ -239,11 +239,11 @@
         subscribed = [
             (number, entry)
             for number, entry in enumerate(self.entries)
-            if entry.stands_for and entry.is_reachable
+            if entry.represents and entry.is_reachable
         ]
         for number, entry in subscribed:
             subscription = ReportSubscription(
-                int(self.now * 10) + 99, entry.zone, 0.1, entry.stands_for
+                int(self.now * 10) + 99, entry.zone, 0.1, entry.represents
             )
             self.subscribers.subscribe(
                 (f'a{number}', 1), subscription, self.now
