--- a/src/linnetwood/calls/attemptlog.py
+++ b/src/linnetwood/calls/attemptlog.py
@@ -48,7 +48,7 @@
 
 
 def load_estimate(stats: EndpointStats, now: float) -> LoadEstimate:
-    """Estimate the load of an endpoint from its reports and our own calls."""
+    """Estimate an endpoint's load from its reports and this entry's calls."""
     waiting, running = stats.estimate_work(now)
     report = stats.report
     age_ms = _UNKNOWN_MS if report is None else _ms(now - report.received_at)
--- a/src/linnetwood/fleet/configtask.py
+++ b/src/linnetwood/fleet/configtask.py
@@ -42,8 +42,8 @@
 ) -> list[str]:
     """Choose the VMs of a region that watch the key-value service.
 
-    Zones in `cut_off`, which are not heard from, are left out, so that a zone
-    that is cut off finds watchers among its own members. Processes whose views
+    Zones in `cut_off`, which are silent here, are left out, so that a zone that
+    is cut off finds watchers among its own members. Processes whose views
     differ choose more watchers than needed, which only costs extra calls.
     """
     candidates = [
@@ -124,7 +124,7 @@
             self._spawn(self._fetch(source))
 
     def is_watcher(self) -> bool:
-        """Return whether this process is one that polls the platform."""
+        """Return whether this process is one of its region's watchers."""
         membership = self._gossip.membership
         chosen = choose_watchers(
             list(membership.view.members.values()),
--- a/src/linnetwood/fleet/relayreader.py
+++ b/src/linnetwood/fleet/relayreader.py
@@ -89,8 +89,8 @@
         """Return for how many seconds an update may have been on its way.
 
         The relay names the last request that it read and the time from there to
-        the update. The update's ages leave out what it waited since then, in a
-        queue, a buffer or a suspended process.
+        the update. The update's ages don't include the time that it has waited
+        since then in a queue, a buffer or a suspended process.
         """
         if part.asked_ms < 0:
             return _no_delay(part)
--- a/src/linnetwood/fleet/remotezonesubscriber.py
+++ b/src/linnetwood/fleet/remotezonesubscriber.py
@@ -33,7 +33,7 @@
 class RemoteZoneSubscriber(Owner):
     """Own a connection to each of a few other zones, while they are needed.
 
-    The relays of a zone need them, and any entry that is isolated.
+    The relays of a zone and isolated entries need them.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._remote_zones = selector.remote_zones
         self._dialler = dialler
         self._port = port
-        self._in_touch_at = -math.inf
+        self._not_isolated_at = -math.inf
         self._isolated_until = -math.inf
         self._zone_tasks: dict[str, asyncio.Task[None]] = {}
 
@@ -61,7 +61,7 @@
 
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
-        self._in_touch_at = loop.time()
+        self._not_isolated_at = loop.time()
         while True:
             known_revision = self._follower.revision
             zones = self._needed_zones(loop.time())
@@ -74,8 +74,8 @@
 
     def _needed_zones(self, now: float) -> list[str]:
         if not self._follower.is_isolated:
-            self._in_touch_at = now
-        elif now - self._in_touch_at > _ISOLATED_AFTER_S:
+            self._not_isolated_at = now
+        elif now - self._not_isolated_at > _ISOLATED_AFTER_S:
             self._isolated_until = now + _STAY_SUBSCRIBED_S
         if self._selector.is_relay or now < self._isolated_until:
             return self._remote_zones.zones(now)
