--- a/src/linnetwood/calls/backend.py
+++ b/src/linnetwood/calls/backend.py
@@ -185,13 +185,9 @@
         reply = await self._exchange(req, exchange)
         if exchange.is_wrong:
             await self.cancel(start.call_id)
-            return unknown(
-                Code.WRONG_ANSWER, 'the answer has another call id or version'
-            )
+            return unknown(Code.WRONG_ANSWER, 'the engine answered otherwise')
         if reply.code in {_BUSY, _NOT_FOUND}:
-            return not_run(
-                Code.BACKEND_BUSY, f'engine answered with status {reply.code}'
-            )
+            return not_run(Code.BACKEND_BUSY, f'engine said {reply.code}')
         return _ending(reply, exchange)
 
     async def cancel(self, call_id: str) -> None:
--- a/src/linnetwood/calls/dispatch.py
+++ b/src/linnetwood/calls/dispatch.py
@@ -157,7 +157,7 @@
         load.sent += 1
         address = (member.host, member.port)
         stream: FrameStream | None = None
-        ending = unknown(Code.CONNECTION_LOST, 'attempt was cut short')
+        ending = unknown(Code.CONNECTION_LOST, 'cut short')
         try:
             async with asyncio.timeout(call.deadline - self._clock.now()):
                 stream = await self._connect(address, call)
--- a/src/linnetwood/calls/fairness.py
+++ b/src/linnetwood/calls/fairness.py
@@ -146,7 +146,7 @@
             return not_run(Code.QUEUE_FULL, after_ms=after_ms)
         left_s = deadline - now - self._mean_s
         if wait_s > min(left_s, self._limits.wait_s):
-            return not_run(Code.LATE, 'would be served too late', after_ms)
+            return not_run(Code.LATE, 'would come too late', after_ms)
         return None
 
     def _fair_rate_per_s(self, organisation: str) -> float:
--- a/src/linnetwood/calls/guard.py
+++ b/src/linnetwood/calls/guard.py
@@ -54,7 +54,7 @@
     elif start.target != state.name:
         return not_run(Code.NOT_SERVING, f'is {state.name!r}')
     if state.in_flight >= state.slots:
-        return not_run(Code.BUSY, f'{state.slots} calls in flight')
+        return not_run(Code.BUSY, f'{state.slots} calls under way')
     return None
 
 
